--- a/src/main/java/willowyoke/Decide.java
+++ b/src/main/java/willowyoke/Decide.java
@@ -20,6 +20,7 @@
     private static final double FORGET = 4000;
     /** First ejection (ms): longer than a blip, short against the time that a client waits; then doubled. */
     private static final double EJECT = 500;
+
     private static final int EJECT_DOUBLINGS = 4;
     /** An answer beyond a quarter of its aim takes a tenth off the bound: some are long by themselves. */
     private static final double LIMIT_DOWN = 0.9;
@@ -49,6 +50,7 @@
     private static final double CALL_SLOW = 1.0 / 2;
     /** A slow call takes a tenth off the bound, a lost one more: it stays in line though no one waits. */
     private static final double CALLS_DOWN = 0.9;
+
     private static final double CALLS_DOWN_LOST = 0.7;
     /** Below one call out a pause is kept between calls, as a large tier needs it: 16 limits at most. */
     private static final double CALLS_LEAST = 1.0 / 16;
@@ -68,6 +70,7 @@
     private static final double SENT_SHARE = 0.7;
     /** A server back from the operators is tried between these (ms): gateways must not all come at once. */
     private static final double BACK_FROM = 300;
+
     private static final double BACK_TO = 3500;
     /** Many gateways spread this as their budgets would, but so that this many come in the rule's time. */
     private static final double BACK_TOGETHER = 2;
@@ -94,6 +97,7 @@
     private final Map<Long, Req> requests = new HashMap<>();
     /** All that the lists tell; of those the ones that were used or taken out by hand; and the set in use. */
     private final ServerList list;
+
     private final WorkingSet working;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final TreeMap<String, Host> members = new TreeMap<>();
@@ -134,7 +138,7 @@
         final Gateway.Plan plan;
         final int spread;
         final TreeSet<Req> queue =
-            new TreeSet<>(Comparator.<Req>comparingDouble(r -> r.useful).thenComparingLong(r -> r.serial));
+                new TreeSet<>(Comparator.<Req>comparingDouble(r -> r.useful).thenComparingLong(r -> r.serial));
         final ArrayDeque<Long> slots = new ArrayDeque<>();
         final ArrayDeque<double[]> due = new ArrayDeque<>(); // when, units: parts that the rate fills later
         double share, ownUnits, allUnits, sharedAt;
@@ -146,6 +150,7 @@
         double farFrom = Double.MAX_VALUE;
         /** Where this gateway stands in the customer's set. */
         final int place;
+
         boolean asking, inRing, doubted;
 
         Customer(String name, Gateway.Plan plan, int spread, int place, double now) {
@@ -202,6 +207,7 @@
         boolean cordoned;
         /** When a server that was put back is owed its first request. */
         double backAt = Double.MAX_VALUE;
+
         final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
         double slow = 1, slowAt;
         double limit = 4; // at first about two for each core of a small machine
@@ -215,13 +221,27 @@
         }
     }
 
-    private enum Why { CLAIM, FIX, GIVE, CARRY, TAKE_SLOT, GIVE_SLOT }
+    private enum Why {
+        CLAIM,
+        FIX,
+        GIVE,
+        CARRY,
+        TAKE_SLOT,
+        GIVE_SLOT
+    }
 
-    private record Call(Customer customer, Why why, double amount) { }
+    private record Call(Customer customer, Why why, double amount) {}
 
-    private enum Kind { EDGE, EXPIRE, DEADLINE, LATE, RETRY, SUBSCRIBE }
+    private enum Kind {
+        EDGE,
+        EXPIRE,
+        DEADLINE,
+        LATE,
+        RETRY,
+        SUBSCRIBE
+    }
 
-    private record Timer(Kind kind, Req req) { }
+    private record Timer(Kind kind, Req req) {}
 
     public Decide(Gateway.Settings settings, long seed, double now, Gateway.Actions actions) {
         set = settings;
@@ -246,20 +266,24 @@
 
     // ---- events ----
 
-    @Override public void servers(double time, List<Gateway.Server> told, boolean whole) {
+    @Override
+    public void servers(double time, List<Gateway.Server> told, boolean whole) {
         begin(time);
         list.take(told, whole);
-        told.stream().filter(s -> hosts.containsKey(s.id())
-            || s.state() == Gateway.State.UP && working.covers(s.id())).forEach(this::told);
+        told.stream()
+                .filter(s -> hosts.containsKey(s.id()) || s.state() == Gateway.State.UP && working.covers(s.id()))
+                .forEach(this::told);
         changed(whole);
     }
 
-    @Override public void listBegins(double time) {
+    @Override
+    public void listBegins(double time) {
         begin(time);
         list.begin();
     }
 
-    @Override public void listEnds(double time) {
+    @Override
+    public void listEnds(double time) {
         begin(time);
         list.end();
         changed(true);
@@ -272,7 +296,9 @@
         }
         fit();
         if (edges < 4 && list.up() > 0) { // at first two out at each server, of all gateways together
-            long out = hosts.values().stream().filter(h -> h.cordoned && list.isUp(h.id)).count();
+            long out = hosts.values().stream()
+                    .filter(h -> h.cordoned && list.isUp(h.id))
+                    .count();
             paceRate = Math.max(paceRate, 2000.0 * (list.up() - out) / set.nodes() / (meanAim / 8));
             paceCredit = Math.max(2, paceRate * SUBPERIOD / 1000);
         }
@@ -311,7 +337,8 @@
     /** The set follows load and list. */
     private void fit() {
         int before = working.covered;
-        working.fit(now, outMean, members.values().stream().filter(h -> !ejected(h)).count());
+        working.fit(
+                now, outMean, members.values().stream().filter(h -> !ejected(h)).count());
         if (working.covered < before) {
             List.copyOf(members.values()).forEach(this::place);
         }
@@ -325,7 +352,8 @@
         h.failing.clear();
     }
 
-    @Override public boolean cordon(double time, String server, boolean out) {
+    @Override
+    public boolean cordon(double time, String server, boolean out) {
         begin(time);
         Host h = known(server);
         if (h == null || h.told == null && !h.cordoned) {
@@ -336,7 +364,8 @@
         return true;
     }
 
-    @Override public void cordons(double time, Set<String> servers) {
+    @Override
+    public void cordons(double time, Set<String> servers) {
         begin(time);
         for (String server : servers) { // those too that the list is yet to name
             Host h = known(server);
@@ -371,16 +400,22 @@
         }
     }
 
-    @Override public int listed() {
+    @Override
+    public int listed() {
         return list.size();
     }
 
-    @Override public int avoided(double time) {
-        return list.size() - list.up() + (int) hosts.values().stream()
-            .filter(h -> list.isUp(h.id) && (h.cordoned || time < h.ejectedUntil)).count();
+    @Override
+    public int avoided(double time) {
+        return list.size()
+                - list.up()
+                + (int) hosts.values().stream()
+                        .filter(h -> list.isUp(h.id) && (h.cordoned || time < h.ejectedUntil))
+                        .count();
     }
 
-    @Override public void discoveryFailed(double time) {
+    @Override
+    public void discoveryFailed(double time) {
         begin(time);
         if (set.mustAsk()) {
             at(Kind.SUBSCRIBE, now + subscribeBackoff * (0.5 + random.nextDouble()), null);
@@ -388,7 +423,8 @@
         }
     }
 
-    @Override public void arrived(double time, Gateway.Request told) {
+    @Override
+    public void arrived(double time, Gateway.Request told) {
         begin(time);
         Type type = types.get(told.type());
         Gateway.Plan plan = plans.get(told.plan());
@@ -400,8 +436,7 @@
         String holder = told.customer() + ' ' + told.plan(); // a customer's other plan has a quota of its own
         Customer c = customers.get(holder);
         if (c == null) {
-            c = new Customer(holder, plan, told.spread(),
-                Math.floorMod(set.me() - told.first(), set.nodes()), now);
+            c = new Customer(holder, plan, told.spread(), Math.floorMod(set.me() - told.first(), set.nodes()), now);
             c.credits = alone(c) ? Math.floor(plan.burst() / c.spread) : 0;
             c.inside = usuallyInside;
             customers.put(holder, c);
@@ -430,17 +465,25 @@
         }
     }
 
-    @Override public void firstAnswer(double time, long id, int attempt) {
+    @Override
+    public void firstAnswer(double time, long id, int attempt) {
         begin(time);
         Optional.ofNullable(requests.get(id)).ifPresent(r -> r.streaming = true);
     }
 
-    @Override public void ended(double time, long id, int number, Gateway.Outcome outcome, double took,
-        boolean over, int trueUnits, double[] load) {
+    @Override
+    public void ended(
+            double time,
+            long id,
+            int number,
+            Gateway.Outcome outcome,
+            double took,
+            boolean over,
+            int trueUnits,
+            double[] load) {
         begin(time);
         Req r = requests.get(id);
-        if (r == null || number < 0 || number >= r.attempts.size()
-            || r.attempts.get(number).outcome != null) {
+        if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).outcome != null) {
             return;
         }
         Attempt a = r.attempts.get(number);
@@ -462,12 +505,14 @@
         giveBack(r.customer);
     }
 
-    @Override public void gone(double time, long id) {
+    @Override
+    public void gone(double time, long id) {
         begin(time);
         Optional.ofNullable(requests.get(id)).ifPresent(this::end);
     }
 
-    @Override public void timer(double time, long token) {
+    @Override
+    public void timer(double time, long token) {
         boolean last = timers.isLast(time); // an older reminder leaves the one still to come alone
         begin(time);
         pump();
@@ -476,8 +521,8 @@
         }
     }
 
-    @Override public void counted(double time, long name, Gateway.Outcome outcome, double took,
-        double total) {
+    @Override
+    public void counted(double time, long name, Gateway.Outcome outcome, double took, double total) {
         begin(time);
         Call call = calls.poll(name);
         if (call == null) {
@@ -503,7 +548,7 @@
             case FIX -> fixHeard(c, heard, total);
             case CARRY -> carryHeard(c, heard, total);
             case TAKE_SLOT -> slotHeard(c, heard, total);
-            default -> { }
+            default -> {}
         }
         pump();
         giveBack(c);
@@ -523,8 +568,9 @@
     }
 
     private boolean mayCall() {
-        return now >= counterSilentUntil && now >= lineUntil
-            && callsOut + 1 <= (misses >= MISSES ? 1 : Math.max(1, window));
+        return now >= counterSilentUntil
+                && now >= lineUntil
+                && callsOut + 1 <= (misses >= MISSES ? 1 : Math.max(1, window));
     }
 
     private void onEdge() {
@@ -539,7 +585,7 @@
         usualUp += (members.size() - usualUp) * SUBPERIOD / UP_KEPT;
         sentShare += askRate > 0 ? (Math.min(1, sendRate / askRate) - sentShare) * SLOW : 0;
         ahead.clear();
-        for (Iterator<Customer> it = active.iterator(); it.hasNext();) {
+        for (Iterator<Customer> it = active.iterator(); it.hasNext(); ) {
             Customer c = it.next();
             c.usual += (c.arrived - c.usual) * FAST;
             c.arrived = 0;
@@ -561,8 +607,11 @@
         claimAhead();
         if (edges % 64 == 0) { // state of idle customers goes when their stores must be full
             customers.values().removeIf(c -> !active.contains(c) && !c.inRing && now - c.seen > ACCOUNT);
-            hosts.values().removeIf(h -> hosts.size() > members.size() + REMEMBERED
-                && h.out.isEmpty() && !h.cordoned && !members.containsKey(h.id));
+            hosts.values()
+                    .removeIf(h -> hosts.size() > members.size() + REMEMBERED
+                            && h.out.isEmpty()
+                            && !h.cordoned
+                            && !members.containsKey(h.id));
         }
     }
 
@@ -696,14 +745,15 @@
         double rate = c.plan.rate() / 1000;
         double before = filled(c, c.askEpoch) - (total - c.claimed);
         double others = total - c.added;
-        c.doubted |= c.totalEpoch != c.askEpoch
-            || others < c.plan.burst() / 2 && others < c.lastTotal - c.plan.burst() / 2;
+        c.doubted |=
+                c.totalEpoch != c.askEpoch || others < c.plan.burst() / 2 && others < c.lastTotal - c.plan.burst() / 2;
         // a new or lost name tells nothing of what others had; else a low reading may be a claim to be cut
         double most = c.doubted ? Math.min(level(c), left(c)) : c.plan.burst();
         double excess = before - Math.max(-rate * longestAim, Math.min(before, most));
         boolean far = Math.abs(excess) > c.plan.burst() * DRIFT;
         // one of a set goes first with a name that is new to all; what is missing may be on its way back
-        double after = excess < 0 ? SUBPERIOD : c.doubted ? c.place * set.allowed().counterTimeout() : 0;
+        double after =
+                excess < 0 ? SUBPERIOD : c.doubted ? c.place * set.allowed().counterTimeout() : 0;
         c.farFrom = far ? Math.min(c.farFrom, now) : Double.MAX_VALUE;
         c.doubted &= far;
         boolean fix = far && now >= c.farFrom + after;
@@ -824,8 +874,8 @@
 
     /** From here on a held request is of no use: it would be late, or its client has to try elsewhere. */
     private double lastCall(Req r) {
-        return Math.min(r.useful - LAST_CALL * r.type.mean,
-            r.deadline - (1 - HELD_SHARE) * r.told.patience() - 2 * set.tick());
+        return Math.min(
+                r.useful - LAST_CALL * r.type.mean, r.deadline - (1 - HELD_SHARE) * r.told.patience() - 2 * set.tick());
     }
 
     private boolean covered(Customer c, Req r) {
@@ -846,11 +896,15 @@
 
     /** With no call to be had, by the store as last read; half is left to those that believe the same. */
     private boolean onBelief(Customer c, Req r) {
-        return !alone(c) && !c.asking && !mayCall() && c.plan.ceilingRate() <= 0 && !r.told.again()
-            && believed(c)
-            && Math.min(guess(c), c.left) >= Math.max(r.told.units(), c.plan.burst() * BELIEVED)
-            && (c.totalEpoch != Long.MIN_VALUE && now < c.levelAt + FORGET 
-                || 2 * now >= r.deadline - r.told.patience() + lastCall(r)); // half of its wait here
+        return !alone(c)
+                && !c.asking
+                && !mayCall()
+                && c.plan.ceilingRate() <= 0
+                && !r.told.again()
+                && believed(c)
+                && Math.min(guess(c), c.left) >= Math.max(r.told.units(), c.plan.burst() * BELIEVED)
+                && (c.totalEpoch != Long.MIN_VALUE && now < c.levelAt + FORGET
+                        || 2 * now >= r.deadline - r.told.patience() + lastCall(r)); // half of its wait here
     }
 
     /** Sending earns more than it costs, by what the plan tells, and servers are not pressed. */
@@ -956,11 +1010,15 @@
             return found;
         }
         Gateway.Server first = ran.get().host.told;
-        return (r.type.told.group() == Gateway.Group.CELL ? list.inCell(first.cell())
-            : list.inBuckets(working.buckets(working.covered, set.nodes()))).limit(LOOK)
-            .filter(s -> !working.covers(s.id()) && s.zone().equals(first.zone())).map(s -> known(s.id()))
-            .filter(h -> !h.cordoned && mayGet(r, h) && r.attempts.stream().noneMatch(a -> a.host == h))
-            .findFirst().orElse(found);
+        return (r.type.told.group() == Gateway.Group.CELL
+                        ? list.inCell(first.cell())
+                        : list.inBuckets(working.buckets(working.covered, set.nodes())))
+                .limit(LOOK)
+                .filter(s -> !working.covers(s.id()) && s.zone().equals(first.zone()))
+                .map(s -> known(s.id()))
+                .filter(h -> !h.cordoned && mayGet(r, h) && r.attempts.stream().noneMatch(a -> a.host == h))
+                .findFirst()
+                .orElse(found);
     }
 
     /** How likely this server fails this class, or cannot be reached; forgotten in time. */
@@ -981,8 +1039,9 @@
 
     /** Room under the bound; a bound under one is a pause, as one attempt of every node can be too much. */
     private boolean room(Host h) {
-        return h.out.isEmpty() ? h.limit >= 1 || now >= h.lastSent + meanAim / 2 / h.limit
-            : !h.trial && h.out.size() + 1 <= h.limit;
+        return h.out.isEmpty()
+                ? h.limit >= 1 || now >= h.lastSent + meanAim / 2 / h.limit
+                : !h.trial && h.out.size() + 1 <= h.limit;
     }
 
     /** Additive increase where the bound was reached and the answer quick, else decrease. */
@@ -1030,7 +1089,7 @@
                 fault(h, 2);
             }
             case RESET -> fault(h, 1); // one connection: a process that died resets all
-            default -> { }
+            default -> {}
         }
     }
 
@@ -1116,7 +1175,12 @@
     }
 
     private void end(Req r) {
-        for (int i = 0; i < r.attempts.size() && !r.over && !r.streaming && set.allowed().cancel(); i++) {
+        for (int i = 0;
+                i < r.attempts.size()
+                        && !r.over
+                        && !r.streaming
+                        && set.allowed().cancel();
+                i++) {
             if (r.attempts.get(i).outcome == null) {
                 act.cancel(r.told.id(), i);
             }
@@ -1138,8 +1202,7 @@
 
     /** Drains, ejections, groups and cold budgets: may this request go to this server now? */
     private boolean mayGet(Req r, Host h) {
-        return !ejected(h) && inGroup(r, h)
-            && (warmth(h) >= 1 || now >= h.backAt || coldBudget(h) >= 1);
+        return !ejected(h) && inGroup(r, h) && (warmth(h) >= 1 || now >= h.backAt || coldBudget(h) >= 1);
     }
 
     /** Sends due to a cold server; what is not used lapses, as all gateways would need it together. */
@@ -1177,24 +1240,32 @@
 
     /** Whether another attempt may go out now, wherever it goes; two are never out together. */
     private boolean mayRepeat(Req r) {
-        OptionalDouble ran = r.attempts.stream().filter(Attempt::mayHaveRun).mapToDouble(a -> a.sent).min();
-        return ran.isEmpty() || switch (r.type.told.effect()) {
-            case SAFE -> true;
-            case KEYED -> now - ran.getAsDouble() < r.type.told.window() - 2 * set.tick();
-            case UNSAFE -> false;
-        };
+        OptionalDouble ran = r.attempts.stream()
+                .filter(Attempt::mayHaveRun)
+                .mapToDouble(a -> a.sent)
+                .min();
+        return ran.isEmpty()
+                || switch (r.type.told.effect()) {
+                    case SAFE -> true;
+                    case KEYED -> now - ran.getAsDouble() < r.type.told.window() - 2 * set.tick();
+                    case UNSAFE -> false;
+                };
     }
 
     private boolean inGroup(Req r, Host h) {
         Gateway.Group group = r.type.told.group();
-        return r.attempts.isEmpty() || !r.type.told.staysInGroup()
-            || r.attempts.stream().noneMatch(a -> a.mayHaveRun() && (group == Gateway.Group.ZONE
-                ? !a.host.told.zone().equals(h.told.zone()) : a.host.told.cell() != h.told.cell()));
+        return r.attempts.isEmpty()
+                || !r.type.told.staysInGroup()
+                || r.attempts.stream()
+                        .noneMatch(a -> a.mayHaveRun()
+                                && (group == Gateway.Group.ZONE
+                                        ? !a.host.told.zone().equals(h.told.zone())
+                                        : a.host.told.cell() != h.told.cell()));
     }
 
     private static boolean mayRefuse(Req r) {
         return r.type.told.effect() != Gateway.Effect.UNSAFE && !r.type.told.staysInGroup()
-            || r.attempts.stream().noneMatch(Attempt::mayHaveRun);
+                || r.attempts.stream().noneMatch(Attempt::mayHaveRun);
     }
 
     /** The hard ceiling: the even part rounded down, empty at the start, whatever the counter says. */
@@ -1202,8 +1273,9 @@
         if (c.plan.ceilingRate() <= 0) {
             return true;
         }
-        c.ceiling = Math.min(Math.floor(c.plan.ceilingBurst() / c.spread),
-            c.ceiling + (now - c.ceilingAt) / 1000 * c.plan.ceilingRate() / c.spread);
+        c.ceiling = Math.min(
+                Math.floor(c.plan.ceilingBurst() / c.spread),
+                c.ceiling + (now - c.ceilingAt) / 1000 * c.plan.ceilingRate() / c.spread);
         c.ceilingAt = now;
         return c.ceiling >= r.told.units();
     }
--- a/src/main/java/willowyoke/Gateway.java
+++ b/src/main/java/willowyoke/Gateway.java
@@ -9,17 +9,35 @@
  */
 public interface Gateway {
     /** May a request be repeated: freely, inside a group of servers that drops repeats, or never. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The servers that drop each other's repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
-    enum State { UP, DRAINING, GONE }
+    enum State {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** How an attempt, a probe or a counter call ended; the flag says that it proves nothing ran. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), NO_CONNECTION(true), RESET(false),
-        CANCELLED(false), NOT_SENT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        NO_CONNECTION(true),
+        RESET(false),
+        CANCELLED(false),
+        NOT_SENT(true);
 
         /** True where the work cannot have run. */
         public final boolean neverRan;
@@ -54,8 +72,16 @@
     }
 
     /** A class of requests. */
-    record RequestClass(String name, Effect effect, Group group, double aim, double deadline, double worth,
-        double lateWorth, double window, boolean stream) {
+    record RequestClass(
+            String name,
+            Effect effect,
+            Group group,
+            double aim,
+            double deadline,
+            double worth,
+            double lateWorth,
+            double window,
+            boolean stream) {
         /** Whether a repeat has to stay with a part of the servers. */
         public boolean staysInGroup() {
             return effect == Effect.KEYED && group != Group.ALL;
@@ -63,35 +89,76 @@
     }
 
     /** A plan; a rate, open or ceilingRate of 0 means that there is no such limit. */
-    record Plan(String name, double rate, double burst, int open, double price, double overWorth,
-        double overCost, double ceilingRate, double ceilingBurst, double ceilingSlack) { }
+    record Plan(
+            String name,
+            double rate,
+            double burst,
+            int open,
+            double price,
+            double overWorth,
+            double overCost,
+            double ceilingRate,
+            double ceilingBurst,
+            double ceilingSlack) {}
 
     /** What the site allows. */
-    record Allowed(boolean probes, boolean cancel, boolean copies, boolean retryAfter, boolean peers,
-        boolean counter, int attempts, double maxRetryAfter, double counterTimeout) { }
+    record Allowed(
+            boolean probes,
+            boolean cancel,
+            boolean copies,
+            boolean retryAfter,
+            boolean peers,
+            boolean counter,
+            int attempts,
+            double maxRetryAfter,
+            double counterTimeout) {}
 
     /** The figures of the rules. */
-    record Rules(double answerGrace, double drainGrace, double coldShare, double warmAfter,
-        double overloadFactor, double overloadFor) { }
+    record Rules(
+            double answerGrace,
+            double drainGrace,
+            double coldShare,
+            double warmAfter,
+            double overloadFactor,
+            double overloadFor) {}
 
     /** What costs points of the result. */
-    record Prices(double waste, double probe, double counter, double crossZone, double lateFail) { }
+    record Prices(double waste, double probe, double counter, double crossZone, double lateFail) {}
 
     /** Everything one instance is told at its start. */
-    record Settings(int me, int nodes, String zone, double tick, boolean mustAsk, boolean settled,
-        int mostUnits, List<String> loadFields, List<RequestClass> classes, List<Plan> plans,
-        Allowed allowed, Rules rules, Prices prices) { }
+    record Settings(
+            int me,
+            int nodes,
+            String zone,
+            double tick,
+            boolean mustAsk,
+            boolean settled,
+            int mostUnits,
+            List<String> loadFields,
+            List<RequestClass> classes,
+            List<Plan> plans,
+            Allowed allowed,
+            Rules rules,
+            Prices prices) {}
 
     /**
      * A server as the list names it; startedAt is 0 where it started long ago. Where it listens is the host's
      * own affair: the module keeps the number and gives it back, 0 where there is none.
      */
-    record Server(String id, int cell, String zone, State state, String kind, double startedAt,
-        double weight, long dial) { }
+    record Server(
+            String id, int cell, String zone, State state, String kind, double startedAt, double weight, long dial) {}
 
     /** A request as it arrived. */
-    record Request(long id, String type, String plan, String customer, double patience, int units,
-        int spread, int first, boolean again) { }
+    record Request(
+            long id,
+            String type,
+            String plan,
+            String customer,
+            double patience,
+            int units,
+            int spread,
+            int first,
+            boolean again) {}
 
     /** What a host tells one instance. */
     interface Events {
@@ -102,9 +169,9 @@
          * A whole list begins that comes in parts, each by {@link #servers} as a change. What none of them
          * has named is gone at its end; one that is begun again, or never ends, drops nothing.
          */
-        default void listBegins(double now) { }
+        default void listBegins(double now) {}
 
-        default void listEnds(double now) { }
+        default void listEnds(double now) {}
 
         /** A call to discovery failed or the subscription dropped. */
         void discoveryFailed(double now);
@@ -115,14 +182,21 @@
         void firstAnswer(double now, long id, int attempt);
 
         /** One attempt ended; over: the request needs no answer any more. */
-        void ended(double now, long id, int attempt, Outcome outcome, double took, boolean over,
-            int trueUnits, double[] load);
+        void ended(
+                double now,
+                long id,
+                int attempt,
+                Outcome outcome,
+                double took,
+                boolean over,
+                int trueUnits,
+                double[] load);
 
         void gone(double now, long id);
 
         void timer(double now, long token);
 
-        default void probed(double now, String server, Outcome outcome, double took, double[] load) { }
+        default void probed(double now, String server, Outcome outcome, double took, double[] load) {}
 
         void counted(double now, long name, Outcome outcome, double took, double total);
 
@@ -132,7 +206,7 @@
         }
 
         /** The servers that are out by hand, as they are kept: these and no others. */
-        default void cordons(double now, Set<String> servers) { }
+        default void cordons(double now, Set<String> servers) {}
 
         /** How many servers the list has, draining ones too. */
         default int listed() {
@@ -174,12 +248,12 @@
         void subscribe();
 
         /** What still waits for a connection to this server must not go there any more. */
-        default void withdraw(String server) { }
+        default void withdraw(String server) {}
 
         /** This server is used from here on: connections to it may be made ahead and kept. */
-        default void keep(Server server) { }
+        default void keep(Server server) {}
 
         /** It is not used any more: what is idle there may be closed, what is out may end. */
-        default void release(String server) { }
+        default void release(String server) {}
     }
 }
--- a/src/main/java/willowyoke/Hangup.java
+++ b/src/main/java/willowyoke/Hangup.java
@@ -16,18 +16,20 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
-                (self, method, args) -> switch (method.getName()) {
-                    case "handle" -> {
-                        came();
-                        yield null;
-                    }
-                    case "hashCode" -> System.identityHashCode(self);
-                    case "equals" -> self == args[0];
-                    default -> "hangup";
-                });
+            Object proxy = Proxy.newProxyInstance(
+                    Hangup.class.getClassLoader(),
+                    new Class<?>[] {handler},
+                    (self, method, args) -> switch (method.getName()) {
+                        case "handle" -> {
+                            came();
+                            yield null;
+                        }
+                        case "hashCode" -> System.identityHashCode(self);
+                        case "equals" -> self == args[0];
+                        default -> "hangup";
+                    });
             signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
         } catch (ReflectiveOperationException e) {
             System.err.println("SIGHUP cannot be caught: " + e);
         }
--- a/src/main/java/willowyoke/Main.java
+++ b/src/main/java/willowyoke/Main.java
@@ -21,7 +21,7 @@
 public final class Main {
     private static final Hangup HANGUP = new Hangup();
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the command and exits non-zero with one plain line where the input is malformed. */
     public static void main(String[] args) throws IOException {
@@ -38,8 +38,7 @@
             System.err.println("usage: willowyoke drill | serve | rehearse");
             System.exit(2);
         }
-        BufferedReader in = new BufferedReader(
-            new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
         PrintStream out = new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false);
         try {
             new Wire().run(in, out);
--- a/src/main/java/willowyoke/Ring.java
+++ b/src/main/java/willowyoke/Ring.java
@@ -5,7 +5,7 @@
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private Ring() { }
+    private Ring() {}
 
     /** Jump consistent hash (Lamping and Veach): of one bucket more only that bucket's part moves there. */
     static int bucket(String id, int buckets) {
@@ -15,7 +15,7 @@
         }
         key = mix(key);
         long at = 0;
-        for (long next = 0; next < buckets;) {
+        for (long next = 0; next < buckets; ) {
             at = next;
             key = key * 2862933555777941757L + 1;
             next = (long) ((at + 1) * ((double) (1L << 31) / ((key >>> 33) + 1)));
--- a/src/main/java/willowyoke/ServerList.java
+++ b/src/main/java/willowyoke/ServerList.java
@@ -44,6 +44,7 @@
 
     /** Servers that have gone stay in their cell's line until they are so many, or this part of all. */
     private static final int GONE_LEAST = 64;
+
     private static final int GONE_PART = 16;
     /** Zones and kinds are few: past this number they are no names that come again. */
     private static final int WORDS = 4096;
@@ -52,6 +53,7 @@
     private final Map<String, String> words = new HashMap<>();
     /** Lines by bucket, a power of two of them for each, told apart by the id's hash. */
     private Entry[] table;
+
     private Entry[] cells = new Entry[1];
     private int size;
     private int up;
@@ -89,8 +91,9 @@
     void end() {
         if (reading) {
             for (Entry head : table) {
-                Stream.iterate(head, Objects::nonNull, e -> e.next).filter(e -> e.named != part)
-                    .forEach(this::remove);
+                Stream.iterate(head, Objects::nonNull, e -> e.next)
+                        .filter(e -> e.named != part)
+                        .forEach(this::remove);
             }
             reading = false;
             ended = true;
@@ -194,7 +197,7 @@
         cells = new Entry[2 * Integer.highestOneBit(size)];
         gone = 0;
         for (Entry head : old) {
-            for (Entry e = head; e != null;) {
+            for (Entry e = head; e != null; ) {
                 Entry next = e.next;
                 link(e);
                 e = next;
@@ -219,14 +222,17 @@
     /** The servers of these buckets that are up. */
     Stream<Gateway.Server> inBuckets(IntStream numbers) {
         int lines = table.length / buckets;
-        return numbers.boxed().flatMap(n -> Arrays.stream(table, n * lines, (n + 1) * lines))
-            .flatMap(head -> Stream.iterate(head, Objects::nonNull, e -> e.next)).filter(Entry::isUp)
-            .map(Entry::server);
+        return numbers.boxed()
+                .flatMap(n -> Arrays.stream(table, n * lines, (n + 1) * lines))
+                .flatMap(head -> Stream.iterate(head, Objects::nonNull, e -> e.next))
+                .filter(Entry::isUp)
+                .map(Entry::server);
     }
 
     /** The servers of a cell that are up. */
     Stream<Gateway.Server> inCell(int number) {
         return Stream.iterate(cells[cell(number)], Objects::nonNull, e -> e.nextInCell)
-            .filter(e -> e.cell == number && e.isUp()).map(Entry::server);
+                .filter(e -> e.cell == number && e.isUp())
+                .map(Entry::server);
     }
 }
--- a/src/main/java/willowyoke/TimerQueue.java
+++ b/src/main/java/willowyoke/TimerQueue.java
@@ -5,13 +5,13 @@
 
 /** Many timers over a host that is asked for one at a time, the next; those of one moment fire in order. */
 final class TimerQueue<T> {
-    private record Timer<T>(double at, long serial, T what) { }
+    private record Timer<T>(double at, long serial, T what) {}
 
     /** Clocks of host and module differ by less than this (ms) for one moment. */
     private static final double SAME = 1e-3;
 
-    private final PriorityQueue<Timer<T>> queue = new PriorityQueue<>(
-        Comparator.<Timer<T>>comparingDouble(Timer::at).thenComparingLong(Timer::serial));
+    private final PriorityQueue<Timer<T>> queue =
+            new PriorityQueue<>(Comparator.<Timer<T>>comparingDouble(Timer::at).thenComparingLong(Timer::serial));
     private final Gateway.Actions host;
     private long serial;
     private double armed = Double.MAX_VALUE;
--- a/src/main/java/willowyoke/Wire.java
+++ b/src/main/java/willowyoke/Wire.java
@@ -21,10 +21,23 @@
         }
     }
 
-    private static final Map<String, Gateway.Outcome> OUTCOMES = Map.of("S", Gateway.Outcome.OK,
-        "E", Gateway.Outcome.ERROR, "F", Gateway.Outcome.FULL, "T", Gateway.Outcome.TIMEOUT,
-        "C", Gateway.Outcome.NO_CONNECTION, "R", Gateway.Outcome.RESET, "X", Gateway.Outcome.CANCELLED,
-        "N", Gateway.Outcome.NOT_SENT);
+    private static final Map<String, Gateway.Outcome> OUTCOMES = Map.of(
+            "S",
+            Gateway.Outcome.OK,
+            "E",
+            Gateway.Outcome.ERROR,
+            "F",
+            Gateway.Outcome.FULL,
+            "T",
+            Gateway.Outcome.TIMEOUT,
+            "C",
+            Gateway.Outcome.NO_CONNECTION,
+            "R",
+            Gateway.Outcome.RESET,
+            "X",
+            Gateway.Outcome.CANCELLED,
+            "N",
+            Gateway.Outcome.NOT_SENT);
     private static final double[] NO_LOAD = new double[0];
 
     /** One instance with its reply in the making. */
@@ -41,37 +54,59 @@
             return out.append(word);
         }
 
-        @Override public void send(long id, String server, double until) {
-            word("PLACE\t").append(id).append('\t').append(server).append('\t')
-                .append(plain(until)).append('\n');
+        @Override
+        public void send(long id, String server, double until) {
+            word("PLACE\t")
+                    .append(id)
+                    .append('\t')
+                    .append(server)
+                    .append('\t')
+                    .append(plain(until))
+                    .append('\n');
         }
 
-        @Override public void cancel(long id, int attempt) {
+        @Override
+        public void cancel(long id, int attempt) {
             word("DROP_ATTEMPT\t").append(id).append('\t').append(attempt).append('\n');
         }
 
-        @Override public void refuse(long id, double retryAfter) {
-            word("PUSH_BACK\t").append(id).append('\t').append(plain(retryAfter)).append('\n');
+        @Override
+        public void refuse(long id, double retryAfter) {
+            word("PUSH_BACK\t")
+                    .append(id)
+                    .append('\t')
+                    .append(plain(retryAfter))
+                    .append('\n');
         }
 
-        @Override public void fail(long id) {
+        @Override
+        public void fail(long id) {
             word("GIVE_UP\t").append(id).append('\n');
         }
 
-        @Override public void timer(double delay, long token) {
+        @Override
+        public void timer(double delay, long token) {
             word("WAKE_AT\t").append(plain(delay)).append('\t').append(token).append('\n');
         }
 
-        @Override public void probe(String server) {
+        @Override
+        public void probe(String server) {
             word("ASK_LOAD\t").append(server).append('\n');
         }
 
-        @Override public void count(long name, double amount, double keepFor) {
-            word("ADD_TO\t").append(plain(amount)).append('\t').append(plain(keepFor))
-                .append('\t').append(name).append('\n');
+        @Override
+        public void count(long name, double amount, double keepFor) {
+            word("ADD_TO\t")
+                    .append(plain(amount))
+                    .append('\t')
+                    .append(plain(keepFor))
+                    .append('\t')
+                    .append(name)
+                    .append('\n');
         }
 
-        @Override public void subscribe() {
+        @Override
+        public void subscribe() {
             word("WATCH\t1\n");
         }
     }
@@ -146,18 +181,35 @@
         Gateway.Events to = host.events;
         switch (part[0]) {
             case "MEMBERSHIP" -> list(to);
-            case "ARRIVAL" -> to.arrived(now, new Gateway.Request(whole(1, "tid"), field(2, "band"),
-                field(3, "tariff"), field(4, "holder"), number(5, "remaining"), (int) whole(6, "units"),
-                (int) whole(7, "spread"), (int) whole(8, "first_door"), flag(9, "again_by_client")));
+            case "ARRIVAL" ->
+                to.arrived(
+                        now,
+                        new Gateway.Request(
+                                whole(1, "tid"),
+                                field(2, "band"),
+                                field(3, "tariff"),
+                                field(4, "holder"),
+                                number(5, "remaining"),
+                                (int) whole(6, "units"),
+                                (int) whole(7, "spread"),
+                                (int) whole(8, "first_door"),
+                                flag(9, "again_by_client")));
             case "ACK_FIRST" -> to.firstAnswer(now, whole(1, "tid"), (int) whole(4, "round_no"));
-            case "ENDED" -> to.ended(now, whole(1, "tid"), (int) whole(4, "round_no"), outcome(5),
-                number(6, "cost_time"), flag(3, "settled"), (int) wholeOr(8, "actual"), load(9));
+            case "ENDED" ->
+                to.ended(
+                        now,
+                        whole(1, "tid"),
+                        (int) whole(4, "round_no"),
+                        outcome(5),
+                        number(6, "cost_time"),
+                        flag(3, "settled"),
+                        (int) wholeOr(8, "actual"),
+                        load(9));
             case "CANCELLED_BY_CLIENT" -> to.gone(now, whole(1, "tid"));
             case "REMINDER" -> to.timer(now, whole(1, "ctx"));
-            case "PROBE_RESULT" -> to.probed(now, field(1, "server"), outcome(2), number(3, "cost_time"),
-                load(4));
-            case "COUNTER_REPLY" -> to.counted(now, whole(2, "counter"), outcome(1), number(3, "cost_time"),
-                numberOr(4, "result_value"));
+            case "PROBE_RESULT" -> to.probed(now, field(1, "server"), outcome(2), number(3, "cost_time"), load(4));
+            case "COUNTER_REPLY" ->
+                to.counted(now, whole(2, "counter"), outcome(1), number(3, "cost_time"), numberOr(4, "result_value"));
             case "DATAGRAM" -> whole(1, "src");
             default -> throw bad("message", "unknown event " + shown(part[0]));
         }
@@ -186,8 +238,15 @@
                 case "off" -> Gateway.State.GONE;
                 default -> throw bad("condition", "unknown condition " + shown(part[4]));
             };
-            list.add(new Gateway.Server(field(3, "server"), (int) wholeOr(1, "pack"), field(2, "region_part"),
-                state, field(5, "kind"), numberOr(6, "start_time"), numberOr(7, "units"), 0));
+            list.add(new Gateway.Server(
+                    field(3, "server"),
+                    (int) wholeOr(1, "pack"),
+                    field(2, "region_part"),
+                    state,
+                    field(5, "kind"),
+                    numberOr(6, "start_time"),
+                    numberOr(7, "units"),
+                    0));
         }
         if (kind.equals("error")) {
             to.discoveryFailed(now);
--- a/src/main/java/willowyoke/WorkingSet.java
+++ b/src/main/java/willowyoke/WorkingSet.java
@@ -24,6 +24,7 @@
     private static final double FILLED = 0.6;
     /** It shrinks where so much more would still do, by this part, so often (ms): load comes back. */
     private static final double SLACK = 1.25;
+
     private static final int SHRINK = 8;
     private static final double SHRINK_EVERY = 8000;
 
@@ -32,6 +33,7 @@
     private final int place;
     /** The buckets in use. One while the length of the list is not known: it stays, however many come. */
     int covered = 1;
+
     private double shrunkAt;
 
     WorkingSet(Gateway.Settings settings, ServerList list) {
@@ -58,8 +60,9 @@
 
     /** The buckets that hold so many servers on average. */
     private int holding(double servers) {
-        return list.up() <= SMALL ? set.nodes()
-            : (int) Math.min(set.nodes(), Math.ceil(servers * set.nodes() / list.up()));
+        return list.up() <= SMALL
+                ? set.nodes()
+                : (int) Math.min(set.nodes(), Math.ceil(servers * set.nodes() / list.up()));
     }
 
     /** Follows load and list, with so many servers of use at present: grows at once, shrinks slowly. */
--- a/src/main/java/willowyoke/net/AcceptFailure.java
+++ b/src/main/java/willowyoke/net/AcceptFailure.java
@@ -21,7 +21,8 @@
         this.resume = resume;
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Channel listener = ctx.channel();
         node.log("accept", cause);
         listener.config().setAutoRead(false);
--- a/src/main/java/willowyoke/net/AdminServer.java
+++ b/src/main/java/willowyoke/net/AdminServer.java
@@ -46,17 +46,20 @@
     private static final int BACKLOG = 128;
     /** Calls are short, and so is every head that a sane caller sends (bytes). */
     private static final int LINE = 1024;
+
     private static final int HEAD = 4096;
     private static final int BODY = 1024;
     /** So many callers at a time: scrapes and calls by hand are few, and the sockets are the clients'. */
     static final int MOST = 16;
     /** From accept to the end of a connection (ms); an answer is due within 1 s. */
     private static final double LIFE = 2000;
+
     private static final String TEXT = "text/plain; charset=utf-8";
 
     private final Node node;
     /** Those that have sent no whole call yet, the oldest first, and all. */
     private final Set<SocketChannel> silent = new LinkedHashSet<>();
+
     private final Set<SocketChannel> open = new LinkedHashSet<>();
 
     AdminServer(Node node) {
@@ -66,19 +69,30 @@
     /** Binds, and tells where; throws where the address cannot be had. */
     SocketAddress bind(EventLoopGroup group, InetSocketAddress address) throws IOException {
         try {
-            return new ServerBootstrap().group(group).channel(Transport.listener())
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new ChannelInitializer<ServerSocketChannel>() {
-                    @Override protected void initChannel(ServerSocketChannel channel) {
-                        channel.pipeline().addLast(new AcceptFailure(node,
-                            () -> channel.config().setAutoRead(true)));
-                    }
-                }).childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override protected void initChannel(SocketChannel channel) {
-                        taken(channel);
-                    }
-                }).bind(address).sync().channel().localAddress();
+            return new ServerBootstrap()
+                    .group(group)
+                    .channel(Transport.listener())
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .handler(new ChannelInitializer<ServerSocketChannel>() {
+                        @Override
+                        protected void initChannel(ServerSocketChannel channel) {
+                            channel.pipeline()
+                                    .addLast(new AcceptFailure(
+                                            node, () -> channel.config().setAutoRead(true)));
+                        }
+                    })
+                    .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .childHandler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel channel) {
+                            taken(channel);
+                        }
+                    })
+                    .bind(address)
+                    .sync()
+                    .channel()
+                    .localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
@@ -86,9 +100,14 @@
     }
 
     private void taken(SocketChannel channel) {
-        channel.pipeline().addLast(new HttpRequestDecoder(new HttpDecoderConfig()
-            .setMaxInitialLineLength(LINE).setMaxHeaderSize(HEAD)), new HttpResponseEncoder(),
-            new HttpObjectAggregator(BODY, true), new Caller(channel));
+        channel.pipeline()
+                .addLast(
+                        new HttpRequestDecoder(new HttpDecoderConfig()
+                                .setMaxInitialLineLength(LINE)
+                                .setMaxHeaderSize(HEAD)),
+                        new HttpResponseEncoder(),
+                        new HttpObjectAggregator(BODY, true),
+                        new Caller(channel));
         open.add(channel);
         silent.add(channel);
         if (open.size() > MOST) { // who has not finished its call goes first, then who was answered
@@ -101,9 +120,10 @@
         ByteBuf body = Unpooled.buffer(text.length());
         ByteBufUtil.writeUtf8(body, text);
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, TEXT)
-            .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
-            .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_TYPE, TEXT)
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
+                .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         return response;
     }
 
@@ -116,7 +136,8 @@
             this.channel = channel;
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
             if (heard) {
                 return;
             }
@@ -124,10 +145,13 @@
             silent.remove(channel);
             if (call.decoderResult().isFailure()) {
                 Throwable cause = call.decoderResult().cause();
-                answer(cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                    : cause instanceof TooLongHttpHeaderException
-                        ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
-                    "malformed\n");
+                answer(
+                        cause instanceof TooLongHttpLineException
+                                ? HttpResponseStatus.REQUEST_URI_TOO_LONG
+                                : cause instanceof TooLongHttpHeaderException
+                                        ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                                        : HttpResponseStatus.BAD_REQUEST,
+                        "malformed\n");
                 return;
             }
             route(call.method(), call.uri());
@@ -149,8 +173,9 @@
             } else if (path.equals(HEALTH)) {
                 if (allowed(method, HttpMethod.GET)) {
                     boolean yes = node.taking();
-                    answer(yes ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        yes ? "takes clients\n" : "takes no clients\n");
+                    answer(
+                            yes ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                            yes ? "takes clients\n" : "takes no clients\n");
                 }
             } else if (path.equals(STATS)) {
                 if (allowed(method, HttpMethod.GET)) {
@@ -195,18 +220,21 @@
             });
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             open.remove(channel);
             silent.remove(channel);
         }
 
-        @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        @Override
+        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent && (!heard || channel.isOutputShutdown())) {
                 ctx.close(); // else it waits for its answer with its own side ended
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException) && !(cause instanceof CodecException)) {
                 node.log("admin call", cause);
             }
--- a/src/main/java/willowyoke/net/Call.java
+++ b/src/main/java/willowyoke/net/Call.java
@@ -10,8 +10,18 @@
 import willowyoke.Gateway;
 
 /** A client's call as read: what the module is told of it, and its list of names and values round d. */
-record Call(String customer, String id, String type, String plan, double patience, int units, int spread,
-    int first, boolean again, String beforeWait, String afterWait) {
+record Call(
+        String customer,
+        String id,
+        String type,
+        String plan,
+        double patience,
+        int units,
+        int spread,
+        int first,
+        boolean again,
+        String beforeWait,
+        String afterWait) {
 
     private static final int CUSTOMER = 1;
     private static final int ID = 2;
@@ -22,6 +32,7 @@
     private static final Pattern KEY = Pattern.compile("0{7}[01][0-9a-f]{8}");
     /** Java's own reading takes NaN, 1e30 and 0x1p3 too: units of any of them would go off a quota. */
     private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
+
     private static final Pattern WAIT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     /** Throws IllegalArgumentException with what is wrong; sets and units are held against the settings. */
@@ -51,7 +62,7 @@
         int waitTo = -1;
         boolean again = false;
         boolean keyed = false;
-        for (int from = 0; from < list.length();) {
+        for (int from = 0; from < list.length(); ) {
             int comma = list.indexOf(',', from);
             int to = comma < 0 ? list.length() : comma;
             int eq = list.indexOf('=', from);
@@ -72,26 +83,39 @@
                 case "first" -> first = Integer.parseInt(matching(WHOLE, value));
                 case "k" -> keyed = !value.isEmpty();
                 case "r" -> again = value.equals("1");
-                default -> { } // passed on as it is
+                default -> {} // passed on as it is
             }
             from = to + 1;
         }
         if (type == null || plan == null || waitFrom < 0) {
             throw new IllegalArgumentException("c, t and d are needed");
         }
-        if (units < 1 || units > settings.mostUnits() || spread < 1 || spread > settings.nodes()
-            || first >= settings.nodes()) {
+        if (units < 1
+                || units > settings.mostUnits()
+                || spread < 1
+                || spread > settings.nodes()
+                || first >= settings.nodes()) {
             throw new IllegalArgumentException("units or set out of range");
         }
         boolean get = Resp.text(parts.get(0)).endsWith("GET");
         for (Gateway.RequestClass c : settings.classes()) {
-            if (c.name().equals(type) && (get != (c.effect() == Gateway.Effect.SAFE)
-                || c.effect() == Gateway.Effect.KEYED && !keyed)) {
+            if (c.name().equals(type)
+                    && (get != (c.effect() == Gateway.Effect.SAFE) || c.effect() == Gateway.Effect.KEYED && !keyed)) {
                 throw new IllegalArgumentException("not the command of this class, or no k");
             }
         }
-        return new Call(customer, id, type, plan, wait, units, spread, first, again,
-            list.substring(0, waitFrom), list.substring(waitTo));
+        return new Call(
+                customer,
+                id,
+                type,
+                plan,
+                wait,
+                units,
+                spread,
+                first,
+                again,
+                list.substring(0, waitFrom),
+                list.substring(waitTo));
     }
 
     private static String matching(Pattern form, String value) {
@@ -105,9 +129,10 @@
     ArrayRedisMessage forward(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
         List<RedisMessage> parts = new ArrayList<>(command.children().size());
         for (int i = 0; i < command.children().size(); i++) {
-            parts.add(i == LIST
-                ? Resp.bulk(alloc, beforeWait + Math.max(1, (long) left) + afterWait)
-                : ((FullBulkStringRedisMessage) command.children().get(i)).retainedDuplicate());
+            parts.add(
+                    i == LIST
+                            ? Resp.bulk(alloc, beforeWait + Math.max(1, (long) left) + afterWait)
+                            : ((FullBulkStringRedisMessage) command.children().get(i)).retainedDuplicate());
         }
         return new ArrayRedisMessage(parts);
     }
--- a/src/main/java/willowyoke/net/ClientListener.java
+++ b/src/main/java/willowyoke/net/ClientListener.java
@@ -34,11 +34,13 @@
     private static final int PIPELINED = 256;
     /** A client that does not close its side after ours has ended is cut off after this (ms). */
     private static final int LINGER = 200;
+
     private static final int MOST_WORDS = 16;
     /** Which word of a command is the value. */
     private static final int BODY = 4;
     /** One that has sent nothing whole for so long (ms) is told so and ended. */
     private static final double PATIENCE = 2500;
+
     private static final double SWEEP = 250;
     /** At the bound one that has asked nothing yet may go after this (ms): clients ask when they connect. */
     private static final double ASKS_WITHIN = 500;
@@ -47,6 +49,7 @@
 
     /** While none is accepted, it is looked this often (ms) whether one may make room by now. */
     private static final double LOOK_AGAIN = 50;
+
     private static final int BACKLOG = 1024;
     /** So much written and not sent (bytes): no more is read for this client until half of it has gone. */
     private static final int UNSENT = 32 * 1024;
@@ -66,6 +69,7 @@
     private final Set<Connection> silent = new LinkedHashSet<>();
     /** Those that have made room, until their clients have seen it. */
     private final Set<Connection> leaving = new LinkedHashSet<>();
+
     private final ReadAhead.Shared shared;
     private volatile Channel listener;
     private boolean closing;
@@ -82,33 +86,40 @@
 
     /** Binds; null where the node has been told to end, and throws where the address cannot be had. */
     SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(group).channel(Transport.listener())
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-            .option(Transport.shared(), true).option(ChannelOption.RECVBUF_ALLOCATOR, accepts())
-            .handler(new ChannelInitializer<ServerSocketChannel>() {
-                @Override protected void initChannel(ServerSocketChannel channel) {
-                    if (!node.guard().mayListen()) {
-                        channel.close();
-                        return;
+        ChannelFuture bound = new ServerBootstrap()
+                .group(group)
+                .channel(Transport.listener())
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(Transport.shared(), true)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, accepts())
+                .handler(new ChannelInitializer<ServerSocketChannel>() {
+                    @Override
+                    protected void initChannel(ServerSocketChannel channel) {
+                        if (!node.guard().mayListen()) {
+                            channel.close();
+                            return;
+                        }
+                        listener = channel; // on the loop: a client may come before bind has returned
+                        channel.pipeline().addLast(new Queue(), new AcceptFailure(node, ClientListener.this::accept));
                     }
-                    listener = channel; // on the loop: a client may come before bind has returned
-                    channel.pipeline().addLast(new Queue(), new AcceptFailure(node,
-                        ClientListener.this::accept));
-                }
-            })
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.toTheEnd())
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNSENT / 2, UNSENT))
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override protected void initChannel(SocketChannel channel) {
-                    Connection c = new Connection(channel);
-                    channel.pipeline().addLast(c.ahead);
-                    c.raw = Resp.codec(channel.pipeline(), MOST_WORDS, c);
-                    channel.pipeline().addLast(c);
-                    open.add(c);
-                    silent.add(c);
-                    room();
-                }
-            }).bind(address).await();
+                })
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.toTheEnd())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNSENT / 2, UNSENT))
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        Connection c = new Connection(channel);
+                        channel.pipeline().addLast(c.ahead);
+                        c.raw = Resp.codec(channel.pipeline(), MOST_WORDS, c);
+                        channel.pipeline().addLast(c);
+                        open.add(c);
+                        silent.add(c);
+                        room();
+                    }
+                })
+                .bind(address)
+                .await();
         return listener == null ? null : bound.sync().channel().localAddress();
     }
 
@@ -128,13 +139,15 @@
     private final class Queue extends ChannelInboundHandlerAdapter {
         private int round;
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
             round++;
             accepted++;
             ctx.fireChannelRead(msg);
         }
 
-        @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+        @Override
+        public void channelReadComplete(ChannelHandlerContext ctx) {
             boolean empty = round < ACCEPTS; // else the bound of a round ended it
             round = 0;
             if (unbinding && empty) {
@@ -348,6 +361,7 @@
         private final ReadAhead ahead = new ReadAhead(shared);
         /** Names it in the event log. */
         private final long number = ++connections;
+
         private int commands;
         private CloseReason closeReason = CloseReason.CLOSED_BY_PEER;
         private Resp.Raw raw;
@@ -355,6 +369,7 @@
         private double silentFrom = bornAt;
         /** The large value that comes, and its command until enough has come to take that. */
         private Body body;
+
         private Slot bodySlot;
         private ArrayRedisMessage bodyCommand;
         private boolean bodyOwned;
@@ -369,7 +384,8 @@
             return node.now() - bornAt;
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (deaf) { // not taken: the client sends it once more elsewhere
                 ReferenceCountUtil.release(msg);
                 return;
@@ -384,8 +400,9 @@
             Slot slot = new Slot(this);
             slots.add(slot);
             try {
-                if (msg instanceof ArrayRedisMessage command && command != ArrayRedisMessage.NULL_INSTANCE
-                    && !command.children().isEmpty()) {
+                if (msg instanceof ArrayRedisMessage command
+                        && command != ArrayRedisMessage.NULL_INSTANCE
+                        && !command.children().isEmpty()) {
                     command(slot, command);
                 } else {
                     slot.answer(new ErrorRedisMessage("ERR a command expected"));
@@ -425,11 +442,13 @@
 
         // ---- a large value ----
 
-        @Override public int place() {
+        @Override
+        public int place() {
             return BODY;
         }
 
-        @Override public boolean begins(int length) {
+        @Override
+        public boolean begins(int length) {
             if (deaf) {
                 return false;
             }
@@ -438,7 +457,8 @@
             return true;
         }
 
-        @Override public void content(ByteBuf part, boolean last) {
+        @Override
+        public void content(ByteBuf part, boolean last) {
             Body b = body;
             if (last) {
                 body = null;
@@ -458,8 +478,8 @@
 
         /** Nothing more is taken while too much is unanswered, unread by the client, or held by all. */
         private void hold() {
-            boolean take = deaf || slots.size() < PIPELINED && channel.isWritable()
-                && (body == null ? !node.full() : body.wants());
+            boolean take = deaf
+                    || slots.size() < PIPELINED && channel.isWritable() && (body == null ? !node.full() : body.wants());
             if (ahead.held() == take) {
                 ahead.hold(!take);
                 if (take && body != null) {
@@ -559,8 +579,7 @@
             // behind all that is written: ending the output drops what a slow reader has still to get
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
                 channel.shutdownOutput();
-                channel.eventLoop().schedule(() -> close(CloseReason.LINGER_OVER), LINGER,
-                    TimeUnit.MILLISECONDS);
+                channel.eventLoop().schedule(() -> close(CloseReason.LINGER_OVER), LINGER, TimeUnit.MILLISECONDS);
             });
         }
 
@@ -579,7 +598,8 @@
             }
         }
 
-        @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+        @Override
+        public void channelReadComplete(ChannelHandlerContext ctx) {
             if (body != null) {
                 silentFrom = node.now();
             } else if (raw.pending == 0) {
@@ -598,14 +618,16 @@
             }
         }
 
-        @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        @Override
+        public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             hold();
             if (!slots.isEmpty() && slots.peek().stream != null) {
                 slots.peek().stream.pace();
             }
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             open.remove(this);
             silent.remove(this);
             leaving.remove(this);
@@ -662,7 +684,8 @@
             node.flush();
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof io.netty.handler.codec.CodecException) {
                 malformed("malformed");
                 return;
--- a/src/main/java/willowyoke/net/Config.java
+++ b/src/main/java/willowyoke/net/Config.java
@@ -17,12 +17,24 @@
  * where it is told none. The folder is the one place where it may write; servers is the length of the longest
  * list that its memory bears, see {@link ListReader#most}.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery,
-    InetSocketAddress counter, InetSocketAddress control, Path folder, long seed, int sockets, Known known,
-    Gateway.Settings settings, double keepAlive, double connectTimeout, int servers) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress counter,
+        InetSocketAddress control,
+        Path folder,
+        long seed,
+        int sockets,
+        Known known,
+        Gateway.Settings settings,
+        double keepAlive,
+        double connectTimeout,
+        int servers) {
 
     /** Where the settings say nothing of connections. */
     private static final double KEEP_ALIVE = 15_000;
+
     private static final double CONNECT_TIMEOUT = 250;
     private static final int SOCKETS = 1024;
     /** MB, where no limit is told: what the deploy file's flags are for. */
@@ -62,16 +74,20 @@
         double connect = SettingsReader.number(keys, "limits.connect_timeout");
         String counter = root.get("counter").text("");
         String control = env.getOrDefault("EDGE_CONTROL", root.get("control").text(""));
-        return new Config(text(env, "EDGE_NAME", root, "name"),
-            address(text(env, "EDGE_LISTEN", root, "listen")),
-            address(text(env, "EDGE_DISCOVERY", root, "discovery")),
-            counter.isEmpty() ? null : address(counter), control.isEmpty() ? null : address(control),
-            Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
-            seed(root.get("seed").text("0")),
-            (int) root.get("limits").get("sockets").number(SOCKETS),
-            root.get("known").isNull() ? null : known, SettingsReader.read(keys),
-            idle > 0 ? idle : KEEP_ALIVE, connect > 0 ? connect : CONNECT_TIMEOUT,
-            ListReader.most(root.get("limits").get("memory_mb").number(MEMORY)));
+        return new Config(
+                text(env, "EDGE_NAME", root, "name"),
+                address(text(env, "EDGE_LISTEN", root, "listen")),
+                address(text(env, "EDGE_DISCOVERY", root, "discovery")),
+                counter.isEmpty() ? null : address(counter),
+                control.isEmpty() ? null : address(control),
+                Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
+                seed(root.get("seed").text("0")),
+                (int) root.get("limits").get("sockets").number(SOCKETS),
+                root.get("known").isNull() ? null : known,
+                SettingsReader.read(keys),
+                idle > 0 ? idle : KEEP_ALIVE,
+                connect > 0 ? connect : CONNECT_TIMEOUT,
+                ListReader.most(root.get("limits").get("memory_mb").number(MEMORY)));
     }
 
     private static String text(Map<String, String> env, String variable, Json root, String key) {
@@ -94,8 +110,8 @@
     static InetSocketAddress address(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         try {
-            return new InetSocketAddress(hostAndPort.substring(0, colon),
-                Integer.parseInt(hostAndPort.substring(colon + 1)));
+            return new InetSocketAddress(
+                    hostAndPort.substring(0, colon), Integer.parseInt(hostAndPort.substring(colon + 1)));
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
             throw new IllegalArgumentException("address:port expected, found '" + hostAndPort + "'");
         }
@@ -113,7 +129,9 @@
 
     static InetSocketAddress address(long dial) {
         try {
-            byte[] ip = ByteBuffer.allocate(Integer.BYTES).putInt((int) (dial >>> Short.SIZE)).array();
+            byte[] ip = ByteBuffer.allocate(Integer.BYTES)
+                    .putInt((int) (dial >>> Short.SIZE))
+                    .array();
             return new InetSocketAddress(InetAddress.getByAddress(ip), (int) (dial & 0xffff));
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e); // four bytes are an address
--- a/src/main/java/willowyoke/net/Cordons.java
+++ b/src/main/java/willowyoke/net/Cordons.java
@@ -22,7 +22,11 @@
  */
 final class Cordons {
     /** How a call ended: known and kept; no server; in force here, but not kept for the next process. */
-    enum Result { DONE, UNKNOWN, NOT_KEPT }
+    enum Result {
+        DONE,
+        UNKNOWN,
+        NOT_KEPT
+    }
 
     /** Between readings (ms): a call binds the other process 1 s later at the latest. */
     private static final double READ_EVERY = 200;
@@ -64,7 +68,7 @@
             }
         });
         if (writing == 0) {
-            Map.copyOf(unkept).forEach((server, out) -> write(server, out, result -> { }));
+            Map.copyOf(unkept).forEach((server, out) -> write(server, out, result -> {}));
         }
         node.after(READ_EVERY, this::start);
     }
@@ -123,7 +127,8 @@
             }
             StringBuilder text = new StringBuilder();
             servers.forEach(each -> text.append(each).append('\n'));
-            Path next = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+            Path next = file.resolveSibling(
+                    file.getFileName() + "." + ProcessHandle.current().pid());
             Files.writeString(next, text);
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             last = servers;
--- a/src/main/java/willowyoke/net/CounterClient.java
+++ b/src/main/java/willowyoke/net/CounterClient.java
@@ -31,19 +31,20 @@
     private static final double IDLE = 1000;
     /** A line that owes an answer for longer (ms) may be dead: what is lost with it has been told. */
     private static final double DEAD = 400;
+
     private static final int CONNECT = 1500;
     /**
      * Wait (ms) before the next connect, up to twice as long each time in a row, drawn, so that not all nodes
      * come at once. It is short against the silence after which the module asks again by itself.
      */
     private static final double RECONNECT = 100;
+
     private static final double RECONNECT_MOST = 800;
     private static final int MOST_ELEMENTS = 4;
     private static final double LONGEST_LIFE = 60_000;
 
     /** A total in decimal, no longer than a double can hold. */
-    private static final Pattern NUMBER =
-        Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?(e[+-]?[0-9]{1,2})?");
+    private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?(e[+-]?[0-9]{1,2})?");
 
     private final Node node;
     private final double limit;
@@ -52,6 +53,7 @@
     private final Line[] lines = new Line[LINES];
     /** The lines to a new address, until each can take over from the old one. */
     private final Line[] coming = new Line[LINES];
+
     private InetSocketAddress address;
     private final ArrayDeque<Call> untold = new ArrayDeque<>();
     private boolean armed;
@@ -80,8 +82,10 @@
         random = new SplittableRandom(seed);
         this.address = address;
         this.limit = limit;
-        bootstrap = new Bootstrap().group(group).channel(Transport.socket())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT);
+        bootstrap = new Bootstrap()
+                .group(group)
+                .channel(Transport.socket())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT);
         if (address == null) {
             ready.complete(null);
         }
@@ -120,8 +124,10 @@
     /** A name's answers come in the order of its calls: so its line changes only with no call to be told. */
     private Line line(int i) {
         Line old = lines[i];
-        if (coming[i] != null && coming[i].channel != null && old.calls.stream().allMatch(c -> c.told)
-            && old.waiting.isEmpty()) {
+        if (coming[i] != null
+                && coming[i].channel != null
+                && old.calls.stream().allMatch(c -> c.told)
+                && old.waiting.isEmpty()) {
             lines[i] = coming[i];
             coming[i] = null;
             old.end();
@@ -155,7 +161,9 @@
     }
 
     private static String plain(double amount) {
-        return BigDecimal.valueOf(Math.rint(amount * 1000) / 1000).stripTrailingZeros().toPlainString();
+        return BigDecimal.valueOf(Math.rint(amount * 1000) / 1000)
+                .stripTrailingZeros()
+                .toPlainString();
     }
 
     /** One timer for all calls, as the limit is one: else answered ones would wake the loop once more. */
@@ -165,8 +173,10 @@
             if (!call.told && call.line.channel != null && call.line.raw.pending != 0) {
                 call.line.spoilt(); // half an answer, and no more of it
             }
-            tell(call, call.line.waiting.remove(call) == null ? Gateway.Outcome.TIMEOUT
-                : Gateway.Outcome.NO_CONNECTION, 0);
+            tell(
+                    call,
+                    call.line.waiting.remove(call) == null ? Gateway.Outcome.TIMEOUT : Gateway.Outcome.NO_CONNECTION,
+                    0);
         }
         armed = !untold.isEmpty();
         if (armed) {
@@ -201,10 +211,12 @@
         private final ArrayDeque<Call> calls = new ArrayDeque<>();
         /** Calls made while the line is coming up, in their order. */
         private final Map<Call, String[]> waiting = new LinkedHashMap<>();
+
         private boolean connecting;
         private Channel channel;
         /** Ends in a row with nothing answered before: only behind the first the next line comes at once. */
         private int ends;
+
         private double backoff;
         private double usedAt;
         private boolean ending;
@@ -245,12 +257,16 @@
                 return; // left meanwhile
             }
             connecting = true;
-            ChannelFuture connected = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
-                @Override protected void initChannel(SocketChannel channel) {
-                    raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS);
-                    channel.pipeline().addLast(new Answers());
-                }
-            }).connect(at);
+            ChannelFuture connected = bootstrap
+                    .clone()
+                    .handler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel channel) {
+                            raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS);
+                            channel.pipeline().addLast(new Answers());
+                        }
+                    })
+                    .connect(at);
             connected.addListener(f -> {
                 connecting = false;
                 Map<Call, String[]> held = new LinkedHashMap<>(waiting);
@@ -287,13 +303,13 @@
         void write(Call call, String... words) {
             calls.add(call);
             usedAt = call.sent;
-            channel.write(Resp.command(channel.alloc(), words))
-                .addListener(f -> call.written = f.isSuccess());
+            channel.write(Resp.command(channel.alloc(), words)).addListener(f -> call.written = f.isSuccess());
             node.flushLater(channel);
         }
 
         private final class Answers extends ChannelInboundHandlerAdapter {
-            @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+            @Override
+            public void channelRead(ChannelHandlerContext ctx, Object msg) {
                 try {
                     raw.whole((RedisMessage) msg);
                     ends = 0;
@@ -323,7 +339,8 @@
                     return msg instanceof SimpleStringRedisMessage;
                 }
                 if (msg instanceof ErrorRedisMessage error
-                    && (error.content().startsWith("BUSY") || error.content().startsWith("ERR"))) {
+                        && (error.content().startsWith("BUSY")
+                                || error.content().startsWith("ERR"))) {
                     tell(call, Gateway.Outcome.FULL, 0); // nothing was added
                     return true;
                 }
@@ -335,12 +352,14 @@
                 return false;
             }
 
-            @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+            @Override
+            public void channelReadComplete(ChannelHandlerContext ctx) {
                 node.flush();
             }
 
             /** What was written may have been added. */
-            @Override public void channelInactive(ChannelHandlerContext ctx) {
+            @Override
+            public void channelInactive(ChannelHandlerContext ctx) {
                 channel = null;
                 broken();
                 again();
@@ -351,7 +370,8 @@
              * What the codec says behind the end of a connection (half an array is left) is not the next
              * one's: it would take the oldest call there for spoilt and end that line too.
              */
-            @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            @Override
+            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                 if (ctx.channel() != channel) {
                     return;
                 }
--- a/src/main/java/willowyoke/net/Discovery.java
+++ b/src/main/java/willowyoke/net/Discovery.java
@@ -80,6 +80,7 @@
      * longer, as it may take longer.
      */
     private static final double HALF_A_LIST = 80;
+
     private static final double CHECK = 100;
     /** The agent is on this machine: a first packet that is lost is better sent anew than after TCP's 1 s. */
     static final int CONNECT = 500;
@@ -115,7 +116,7 @@
         void say(String what);
 
         /** For the event log. */
-        default void event(Event event) { }
+        default void event(Event event) {}
     }
 
     /** Opens connections; one that does not come up fails after CONNECT. */
@@ -129,6 +130,7 @@
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     /** Watches at addresses that a new configuration has left: they count until the new one has told. */
     private final List<Channel> left = new ArrayList<>();
+
     private final int most;
     private InetSocketAddress address;
     private Channel channel;
@@ -136,13 +138,16 @@
     private long seq = -1;
     /** How long (ms) the next call may take to tell something whole. */
     private double patience = ANSWER_WITHIN;
+
     private double backoff = BACKOFF;
     private boolean connecting;
     /** Whether there is a module to be told: a signal may come before, and the module itself asks first. */
     private boolean started;
+
     private boolean moved;
     /** Whose list is being handed over in parts: another one that begins takes its place. */
     private Told parts;
+
     private boolean tooLong;
 
     Discovery(Host node, Connector connector, Config config) {
@@ -154,9 +159,11 @@
     }
 
     static Connector sockets(EventLoopGroup group) {
-        Bootstrap bootstrap = new Bootstrap().group(group).channel(Transport.socket())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT).option(ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(PIECE).maxMessagesPerRead(1));
+        Bootstrap bootstrap = new Bootstrap()
+                .group(group)
+                .channel(Transport.socket())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(PIECE).maxMessagesPerRead(1));
         return (to, handler) -> bootstrap.clone().handler(handler).connect(to);
     }
 
@@ -219,16 +226,19 @@
         }
         connecting = true;
         InetSocketAddress to = address;
-        connector.connect(to, new ChannelInitializer<Channel>() {
-            @Override protected void initChannel(Channel c) {
-                Call call = new Call(to);
-                c.pipeline().addLast(new HttpClientCodec(), call);
-            }
-        }).addListener(f -> {
-            if (!f.isSuccess()) { // with no descriptor left it is told on a thread of the library's own
-                node.after(0, () -> unreached(to));
-            }
-        });
+        connector
+                .connect(to, new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel c) {
+                        Call call = new Call(to);
+                        c.pipeline().addLast(new HttpClientCodec(), call);
+                    }
+                })
+                .addListener(f -> {
+                    if (!f.isSuccess()) { // with no descriptor left it is told on a thread of the library's own
+                        node.after(0, () -> unreached(to));
+                    }
+                });
     }
 
     private void step(InetSocketAddress at, Event.DiscoveryCall.Step step) {
@@ -258,28 +268,33 @@
             this.at = at;
         }
 
-        @Override public void begins() {
+        @Override
+        public void begins() {
             parts = this;
             node.listBegins();
         }
 
-        @Override public void take(List<Gateway.Server> servers, boolean whole) {
+        @Override
+        public void take(List<Gateway.Server> servers, boolean whole) {
             node.listed(servers, whole);
         }
 
-        @Override public void tooLong(int bound) {
+        @Override
+        public void tooLong(int bound) {
             if (!tooLong) {
                 node.say("discovery: the list names more than " + bound + " servers, the most that"
-                    + " limits.memory_mb bears; the others are left out and none is dropped by it");
+                        + " limits.memory_mb bears; the others are left out and none is dropped by it");
             }
             tooLong = true;
         }
 
-        @Override public void spoilt(Exception what) {
+        @Override
+        public void spoilt(Exception what) {
             node.log("discovery", what);
         }
 
-        @Override public void ends(double version, boolean whole, boolean drops) {
+        @Override
+        public void ends(double version, boolean whole, boolean drops) {
             if (drops && parts == this) {
                 node.listEnds();
             }
@@ -303,13 +318,16 @@
         private boolean over;
         /** Bytes of text in all. */
         private long came;
+
         private boolean timed;
         /** A watch that has told: from here on it may be silent. */
         private boolean standing;
+
         private double heardAt;
         private double silence;
         /** When the call was made or the list that comes began, its bytes, and how long (ms) it may take. */
         private double begunAt;
+
         private double bytes;
         private double allowed;
 
@@ -318,7 +336,8 @@
             lists = new ListReader(new Told(at), most);
         }
 
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             if (at != address) { // left before it came up
                 ctx.close();
                 return;
@@ -336,8 +355,8 @@
             begin();
             allowed = patience;
             patience = Math.min(2 * patience, PATIENCE_MOST);
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                watching ? PATH + "?follow=1&since=" + seq : PATH);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.GET, watching ? PATH + "?follow=1&since=" + seq : PATH);
             request.headers().set(HttpHeaderNames.HOST, at.getHostString() + ":" + at.getPort());
             ctx.writeAndFlush(request);
         }
@@ -352,7 +371,8 @@
             return standing && !lists.pending() ? heardAt + silence : begunAt + allowed + bytes / PACE;
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, HttpObject msg) throws IOException {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject msg) throws IOException {
             if (msg instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK)) {
                 refused(ctx); // whatever else comes, and if it never ends
             }
@@ -408,7 +428,8 @@
             }
         }
 
-        @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+        @Override
+        public void channelReadComplete(ChannelHandlerContext ctx) {
             if (lists.pending() && !timed) {
                 halfAList(ctx, came);
             }
@@ -428,7 +449,8 @@
             });
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) throws IOException {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) throws IOException {
             lists.close();
             left.remove(ctx.channel());
             step(at, Event.DiscoveryCall.Step.ENDED);
@@ -438,7 +460,8 @@
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             over = true;
             if (!(cause instanceof IOException) || cause instanceof JacksonException) {
                 node.log("discovery", cause);
--- a/src/main/java/willowyoke/net/Event.java
+++ b/src/main/java/willowyoke/net/Event.java
@@ -19,64 +19,70 @@
 
     /** The node has entered a state; bound tells how long until all answers are due, 0 for no such time. */
     record State(Phase to, double bound) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "state to=" + to + (bound > 0 ? " answers_due_in=" + Math.round(bound) : "");
         }
     }
 
     /** A request was taken on a client's connection of this age, which had sent so many commands before. */
     record Taken(String request, String type, long connection, double age, int commands, double patience)
-        implements Event {
-        @Override public String text() {
+            implements Event {
+        @Override
+        public String text() {
             return "taken request=" + request + " class=" + type + " connection=" + connection + " age="
-                + Math.round(age) + " commands_before=" + commands + " wait=" + Math.round(patience);
+                    + Math.round(age) + " commands_before=" + commands + " wait=" + Math.round(patience);
         }
     }
 
     /** An attempt goes out; after is the outcome of the one before it, null for the first. */
     record Sent(String request, int attempt, String server, Gateway.Outcome after) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "sent request=" + request + " attempt=" + attempt + " server=" + server
-                + (after == null ? "" : " retry_after=" + after);
+                    + (after == null ? "" : " retry_after=" + after);
         }
     }
 
     /** An attempt has ended, so long after it began. */
-    record Ended(String request, int attempt, String server, Gateway.Outcome outcome, double took)
-        implements Event {
-        @Override public String text() {
-            return "ended request=" + request + " attempt=" + attempt + " server=" + server + " outcome="
-                + outcome + " took=" + Math.round(took);
+    record Ended(String request, int attempt, String server, Gateway.Outcome outcome, double took) implements Event {
+        @Override
+        public String text() {
+            return "ended request=" + request + " attempt=" + attempt + " server=" + server + " outcome=" + outcome
+                    + " took=" + Math.round(took);
         }
     }
 
     /** A request has its final answer; reason tells why it was not served, and is null where it was. */
     record Answered(String request, Metrics.Outcome outcome, Gateway.EndReason reason) implements Event {
-        @Override public String text() {
-            return "answered request=" + request + " outcome=" + outcome
-                + (reason == null ? "" : " reason=" + reason);
+        @Override
+        public String text() {
+            return "answered request=" + request + " outcome=" + outcome + (reason == null ? "" : " reason=" + reason);
         }
     }
 
     /** The client of a request has gone. */
     record Abandoned(String request) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "abandoned request=" + request;
         }
     }
 
     /** A client's connection has ended, with so many commands unanswered. */
     record ClientClosed(long connection, CloseReason reason, double age, int commands, int unanswered)
-        implements Event {
-        @Override public String text() {
+            implements Event {
+        @Override
+        public String text() {
             return "client_closed connection=" + connection + " reason=" + reason + " age=" + Math.round(age)
-                + " commands=" + commands + " unanswered=" + unanswered;
+                    + " commands=" + commands + " unanswered=" + unanswered;
         }
     }
 
     /** A connection to a place server has ended. */
     record ServerClosed(String server, CloseReason reason) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "server_closed server=" + server + " reason=" + reason;
         }
     }
@@ -84,38 +90,52 @@
     /** What became of a call to discovery, and the version of the list that it asked from or was told. */
     record DiscoveryCall(InetSocketAddress at, Step step, long version) implements Event {
         /** The steps of a call. */
-        enum Step { MOVED, UNREACHED, LIST_ASKED, WATCH_ASKED, TOLD, TOLD_WHOLE, REFUSED, SILENT, ENDED }
+        enum Step {
+            MOVED,
+            UNREACHED,
+            LIST_ASKED,
+            WATCH_ASKED,
+            TOLD,
+            TOLD_WHOLE,
+            REFUSED,
+            SILENT,
+            ENDED
+        }
 
-        @Override public String text() {
-            return "discovery step=" + step + " at=" + at.getHostString() + ":" + at.getPort() + " version="
-                + version;
+        @Override
+        public String text() {
+            return "discovery step=" + step + " at=" + at.getHostString() + ":" + at.getPort() + " version=" + version;
         }
     }
 
     /** A place server wants nothing new, or has gone, as discovery tells. */
     record ServerLeaves(String server, Gateway.State state) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "server_leaves server=" + server + " state=" + state;
         }
     }
 
     /** An attempt was not written, though the module had decided on it. */
     record Denied(String request, int attempt, LifecycleGuard.Denial denial) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "denied request=" + request + " attempt=" + attempt + " reason=" + denial;
         }
     }
 
     /** What should hold at any time did not; request is null where it is about none. */
     record Violation(LifecycleGuard.Invariant invariant, String request) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "violation invariant=" + invariant + (request == null ? "" : " request=" + request);
         }
     }
 
     /** The event loop ran a timer so long after it was due. */
     record LoopLate(double by) implements Event {
-        @Override public String text() {
+        @Override
+        public String text() {
             return "loop_late by=" + Math.round(by);
         }
     }
--- a/src/main/java/willowyoke/net/EventLog.java
+++ b/src/main/java/willowyoke/net/EventLog.java
@@ -14,6 +14,7 @@
     private static final int KEPT = 256;
     /** Lines written in one life: a flood would cost what it is to explain. */
     private static final int LINES_MOST = 4_000;
+
     private static final int LINES_MOST_ALL = 400_000;
     private static final String VARIABLE = "EDGE_LOG";
     private static final String ALL = "all";
--- a/src/main/java/willowyoke/net/Handover.java
+++ b/src/main/java/willowyoke/net/Handover.java
@@ -23,7 +23,8 @@
     /** From here on this process serves; what cannot be written costs only a slower end of the one before. */
     void claim() {
         try {
-            Path next = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+            Path next = file.resolveSibling(
+                    file.getFileName() + "." + ProcessHandle.current().pid());
             Files.writeString(next, me);
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
@@ -39,7 +40,8 @@
     /** Whether another process has listened since this one did. */
     boolean succeeded() {
         try {
-            return Files.exists(file) && !Files.readString(file, StandardCharsets.UTF_8).equals(me);
+            return Files.exists(file)
+                    && !Files.readString(file, StandardCharsets.UTF_8).equals(me);
         } catch (IOException e) {
             return false; // not known: the slower end serves both
         }
--- a/src/main/java/willowyoke/net/IdleLimit.java
+++ b/src/main/java/willowyoke/net/IdleLimit.java
@@ -8,11 +8,13 @@
 final class IdleLimit {
     /** The first class of ages ends here (ms), each further one at twice the one before. */
     private static final double FIRST = 25;
+
     private static final int CLASSES = 12;
     /** So many uses of one age tell something; fewer may be chance. */
     private static final double TELLING = 5;
     /** Some resets are the peer's at any age: old connections must break so much more often than new ones. */
     private static final double TIMES = 2;
+
     private static final double MORE = 0.05;
 
     private final double[] uses = new double[CLASSES];
--- a/src/main/java/willowyoke/net/Json.java
+++ b/src/main/java/willowyoke/net/Json.java
@@ -67,7 +67,8 @@
     }
 
     private static void each(Path file, Reader member) throws IOException {
-        try (InputStream text = Files.newInputStream(file); JsonParser in = FACTORY.createParser(text)) {
+        try (InputStream text = Files.newInputStream(file);
+                JsonParser in = FACTORY.createParser(text)) {
             if (in.nextToken() == JsonToken.START_OBJECT) {
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
                     member.read(in);
--- a/src/main/java/willowyoke/net/LifecycleGuard.java
+++ b/src/main/java/willowyoke/net/LifecycleGuard.java
@@ -163,8 +163,7 @@
     }
 
     /** Why an attempt may not follow this one before it; null where it may. */
-    Denial repeat(Gateway.RequestClass type, ServerPool.Attempt before, ServerPool.Attempt next,
-        double now) {
+    Denial repeat(Gateway.RequestClass type, ServerPool.Attempt before, ServerPool.Attempt next, double now) {
         boolean out = !before.done;
         if (out && !allowed.copies()) {
             return Denial.COPY_OUT;
@@ -179,8 +178,7 @@
         if (now - before.sent >= type.window() - HOLD_UP) {
             return Denial.WINDOW_OVER;
         }
-        return type.staysInGroup() && !sameGroup(type.group(), before.place, next.place)
-            ? Denial.OTHER_GROUP : null;
+        return type.staysInGroup() && !sameGroup(type.group(), before.place, next.place) ? Denial.OTHER_GROUP : null;
     }
 
     private static boolean sameGroup(Gateway.Group group, Gateway.Server one, Gateway.Server other) {
--- a/src/main/java/willowyoke/net/ListReader.java
+++ b/src/main/java/willowyoke/net/ListReader.java
@@ -49,12 +49,18 @@
     static final int LONGEST_ENTRY = 64 << 10;
     /** What a node may spend on one server (bytes): of 192 MB a quarter of a million, of 32 some 42,000. */
     private static final int BYTES_A_SERVER = 800;
+
     private static final int DEEPEST = 32;
     /** Zones and kinds are few words, each kept once; past this many, each for itself. */
     private static final int WORDS = 1024;
-    private static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
-        StreamReadConstraints.builder().maxNestingDepth(DEEPEST).maxStringLength(LONGEST_ENTRY)
-            .maxNameLength(LONGEST_ENTRY).build()).build();
+
+    private static final JsonFactory FACTORY = JsonFactory.builder()
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(DEEPEST)
+                    .maxStringLength(LONGEST_ENTRY)
+                    .maxNameLength(LONGEST_ENTRY)
+                    .build())
+            .build();
 
     private final Taker taker;
     private final int most;
@@ -65,6 +71,7 @@
     private boolean inHosts;
     /** Bytes since the entry or member that is being read began, by the pieces that came. */
     private long held;
+
     private long entries;
     private long objects;
     private long lists;
@@ -297,7 +304,7 @@
                 case "health" -> health = value;
                 case "share" -> share = value;
                 case "born_ms" -> born = value;
-                default -> { }
+                default -> {}
             }
         }
 
@@ -310,9 +317,15 @@
             if (text(host).isEmpty()) {
                 throw new IllegalArgumentException("an entry of a list names no host");
             }
-            return new Gateway.Server(host, (int) number(block, 0), once(site, words), state,
-                once(kind, words), number(born, 0), number(share, 1),
-                state == Gateway.State.GONE && text(dial).isEmpty() ? 0 : Config.dial(text(dial)));
+            return new Gateway.Server(
+                    host,
+                    (int) number(block, 0),
+                    once(site, words),
+                    state,
+                    once(kind, words),
+                    number(born, 0),
+                    number(share, 1),
+                    state == Gateway.State.GONE && text(dial).isEmpty() ? 0 : Config.dial(text(dial)));
         }
 
         private static String text(String value) {
--- a/src/main/java/willowyoke/net/Metrics.java
+++ b/src/main/java/willowyoke/net/Metrics.java
@@ -14,7 +14,9 @@
 final class Metrics {
     /** How a request has ended for its client; one that the client abandoned is counted nowhere. */
     enum Outcome {
-        FULFILLED("fulfilled"), THROTTLED("throttled"), FAULTED("faulted");
+        FULFILLED("fulfilled"),
+        THROTTLED("throttled"),
+        FAULTED("faulted");
 
         private final String label;
 
@@ -32,11 +34,11 @@
     private long relayed;
     /** Counts by reason stand in the text from their first one on. */
     private final Map<Gateway.EndReason, Long> refusals = new EnumMap<>(Gateway.EndReason.class);
+
     private final Map<Gateway.EndReason, Long> failures = new EnumMap<>(Gateway.EndReason.class);
     private final Map<Gateway.Outcome, Long> retries = new EnumMap<>(Gateway.Outcome.class);
     private final Map<LifecycleGuard.Denial, Long> denials = new EnumMap<>(LifecycleGuard.Denial.class);
-    private final Map<LifecycleGuard.Invariant, Long> violations =
-        new EnumMap<>(LifecycleGuard.Invariant.class);
+    private final Map<LifecycleGuard.Invariant, Long> violations = new EnumMap<>(LifecycleGuard.Invariant.class);
     private final Map<CloseReason, Long> clientCloses = new EnumMap<>(CloseReason.class);
     private final Map<CloseReason, Long> serverCloses = new EnumMap<>(CloseReason.class);
 
@@ -93,40 +95,50 @@
         head(text, "operations_total", "counter", "Requests ended, by class and outcome.");
         for (int i = 0; i < classes.size(); i++) {
             for (Outcome outcome : OUTCOMES) {
-                text.append(PREFIX).append("operations_total{priority=\"").append(escaped(classes.get(i)))
-                    .append("\",status=\"").append(outcome.label).append("\"} ")
-                    .append(operations[i][outcome.ordinal()]).append('\n');
+                text.append(PREFIX)
+                        .append("operations_total{priority=\"")
+                        .append(escaped(classes.get(i)))
+                        .append("\",status=\"")
+                        .append(outcome.label)
+                        .append("\"} ")
+                        .append(operations[i][outcome.ordinal()])
+                        .append('\n');
             }
         }
         single(text, "relayed_total", "counter", "Attempts written whole to place servers.", relayed);
         single(text, "open_requests", "gauge", "Requests taken and not ended yet.", openRequests);
         single(text, "registry_entries", "gauge", "Place servers in the list.", registryEntries);
-        single(text, "out_of_rotation", "gauge", "Listed place servers that get nothing new at present.",
-            outOfRotation);
+        single(
+                text,
+                "out_of_rotation",
+                "gauge",
+                "Listed place servers that get nothing new at present.",
+                outOfRotation);
         byReason(text, "refusals_total", "Requests refused, by reason.", "reason", refusals);
         byReason(text, "failures_total", "Requests failed, by reason.", "reason", failures);
-        byReason(text, "retries_total", "Further attempts, by the outcome of the one before.", "after",
-            retries);
-        byReason(text, "client_closes_total", "Clients' connections ended, by reason.", "reason",
-            clientCloses);
-        byReason(text, "server_closes_total", "Place servers' connections ended, by reason.", "reason",
-            serverCloses);
-        byReason(text, "sends_denied_total", "Attempts not written after all, by reason.", "reason",
-            denials);
-        byReason(text, "invariant_violations_total", "Faults of this program, by invariant.",
-            "invariant", violations);
+        byReason(text, "retries_total", "Further attempts, by the outcome of the one before.", "after", retries);
+        byReason(text, "client_closes_total", "Clients' connections ended, by reason.", "reason", clientCloses);
+        byReason(text, "server_closes_total", "Place servers' connections ended, by reason.", "reason", serverCloses);
+        byReason(text, "sends_denied_total", "Attempts not written after all, by reason.", "reason", denials);
+        byReason(text, "invariant_violations_total", "Faults of this program, by invariant.", "invariant", violations);
         return text.toString();
     }
 
-    private static <R extends Enum<R>> void byReason(StringBuilder text, String name, String help,
-        String label, Map<R, Long> counts) {
+    private static <R extends Enum<R>> void byReason(
+            StringBuilder text, String name, String help, String label, Map<R, Long> counts) {
         if (counts.isEmpty()) {
             return;
         }
         head(text, name, "counter", help);
-        counts.forEach((reason, count) -> text.append(PREFIX).append(name).append('{').append(label)
-            .append("=\"").append(reason.name().toLowerCase(Locale.ROOT)).append("\"} ").append(count)
-            .append('\n'));
+        counts.forEach((reason, count) -> text.append(PREFIX)
+                .append(name)
+                .append('{')
+                .append(label)
+                .append("=\"")
+                .append(reason.name().toLowerCase(Locale.ROOT))
+                .append("\"} ")
+                .append(count)
+                .append('\n'));
     }
 
     private static void single(StringBuilder text, String name, String type, String help, long value) {
@@ -135,8 +147,18 @@
     }
 
     private static void head(StringBuilder text, String name, String type, String help) {
-        text.append("# HELP ").append(PREFIX).append(name).append(' ').append(help).append('\n')
-            .append("# TYPE ").append(PREFIX).append(name).append(' ').append(type).append('\n');
+        text.append("# HELP ")
+                .append(PREFIX)
+                .append(name)
+                .append(' ')
+                .append(help)
+                .append('\n')
+                .append("# TYPE ")
+                .append(PREFIX)
+                .append(name)
+                .append(' ')
+                .append(type)
+                .append('\n');
     }
 
     private static String escaped(String label) {
--- a/src/main/java/willowyoke/net/Node.java
+++ b/src/main/java/willowyoke/net/Node.java
@@ -40,6 +40,7 @@
     private static final long LOOP_LATE = 1000;
     /** New connections go on coming for up to 0.4 s after SIGTERM. */
     private static final long STAY_OPEN = 450;
+
     private static final long LISTEN_ON = 600;
     /** A process that this one replaces has ended by so long (ms) after its earliest kill. */
     private static final double REPLACED_ENDS = 1000;
@@ -50,6 +51,7 @@
      * version that comes up beside this one has to find its part free. Clients need up to a third.
      */
     private static final double CLIENTS = 0.55;
+
     private static final double SERVERS = 0.25;
     /** A new version takes what true clients need, until the old one's have gone; a tenth shut them out. */
     private static final double CLIENTS_BESIDE = 0.34;
@@ -58,6 +60,7 @@
      * 8 counter lines while it moves, 5 calls to discovery (a move, and old ones that end) and 2 to spare.
      */
     private static final int OWN = 40;
+
     private static final int OWN_CONTROL = AdminServer.MOST + 1;
     /** What all held requests' values may take (bytes) before clients are read no further. */
     private static final long HELD = 8L << 20;
@@ -84,16 +87,24 @@
         double deadline;
         /** A large value that passes through, or null. */
         final Body body;
+
         final int bytes;
         final List<ServerPool.Attempt> attempts = new ArrayList<>(1);
         boolean over;
         /** When (ms) it was over. */
         double overAt;
+
         int out;
         Future<?> timer;
 
-        Request(long id, ClientListener.Slot slot, ArrayRedisMessage command, Call call, Body body,
-            double deadline, double clientEnds) {
+        Request(
+                long id,
+                ClientListener.Slot slot,
+                ArrayRedisMessage command,
+                Call call,
+                Body body,
+                double deadline,
+                double clientEnds) {
             this.id = id;
             this.clientEnds = clientEnds;
             this.body = body;
@@ -132,10 +143,12 @@
     private long lastId;
     /** Requests taken and not ended: fewer than the table has, as attempts may outlive their request. */
     private int openRequests;
+
     private long held;
     private int logged;
     /** When (ms) the next look at whether all has ended is due. */
     private double lookDue;
+
     private volatile SocketAddress address;
     private volatile SocketAddress control;
     /** Set at SIGTERM: by then (ms) all is answered, as the process may be killed right after. */
@@ -147,8 +160,8 @@
         guard = new LifecycleGuard(config.settings(), this::violated);
         clients = new ClientListener(this, clientsOf(CLIENTS));
         servers = new ServerPool(this, group, config, (int) (config.sockets() * SERVERS));
-        counter = new CounterClient(this, group, config.counter(), config.settings().allowed()
-            .counterTimeout(), config.seed());
+        counter = new CounterClient(
+                this, group, config.counter(), config.settings().allowed().counterTimeout(), config.seed());
         discovery = new Discovery(this, Discovery.sockets(group), config);
         admin = new AdminServer(this);
         handover = new Handover(config.folder(), config.name());
@@ -159,8 +172,11 @@
     /** So many clients as this part of the descriptors holds, or as the others' parts and ours leave. */
     private int clientsOf(double part) {
         int most = (int) (config.sockets() * part);
-        int left = config.sockets() - (int) (config.sockets() * SERVERS) - OWN
-            - 2 * ClientListener.beyond(most) - (config.control() == null ? 0 : OWN_CONTROL);
+        int left = config.sockets()
+                - (int) (config.sockets() * SERVERS)
+                - OWN
+                - 2 * ClientListener.beyond(most)
+                - (config.control() == null ? 0 : OWN_CONTROL);
         return Math.max(config.sockets() / 3, Math.min(most, left)); // a third is theirs by the terms
     }
 
@@ -199,8 +215,8 @@
             servers.start();
             clients.start();
             StartLog.ended("loop and module");
-            Readiness.of(this, spent, config.known() != null, discovery.ready(), servers.ready(),
-                counter.ready()).thenRun(() -> ready.complete(null));
+            Readiness.of(this, spent, config.known() != null, discovery.ready(), servers.ready(), counter.ready())
+                    .thenRun(() -> ready.complete(null));
         });
         try {
             ready.get((long) Readiness.LIST_WITHOUT + LOOP_LATE, TimeUnit.MILLISECONDS);
@@ -212,15 +228,19 @@
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
-        if (!(discovery.ready().isDone() && servers.ready().isDone() && counter.ready().isDone())) {
-            System.err.println("ready with what there is: discovery " + discovery.ready().isDone()
-                + ", servers " + servers.ready().isDone() + ", counter " + counter.ready().isDone());
+        if (!(discovery.ready().isDone()
+                && servers.ready().isDone()
+                && counter.ready().isDone())) {
+            System.err.println("ready with what there is: discovery "
+                    + discovery.ready().isDone() + ", servers "
+                    + servers.ready().isDone() + ", counter " + counter.ready().isDone());
         }
         try {
             if (handover.beside()) {
                 clients.bound(clientsOf(CLIENTS_BESIDE));
-                after(ShutdownBudget.earliestKill(config.settings()) + REPLACED_ENDS,
-                    () -> clients.bound(clientsOf(CLIENTS)));
+                after(
+                        ShutdownBudget.earliestKill(config.settings()) + REPLACED_ENDS,
+                        () -> clients.bound(clientsOf(CLIENTS)));
             }
             SocketAddress bound = ended.isDone() ? null : clients.bind(group, config.listen());
             if (bound == null) {
@@ -345,7 +365,8 @@
     }
 
     /** Behind the end only the loop's own closes come. */
-    @Override public void event(Event event) {
+    @Override
+    public void event(Event event) {
         if (!guard.hasEnded() || event instanceof Event.State || event instanceof Event.Violation) {
             events.add(now(), event);
         }
@@ -390,12 +411,14 @@
      * The module's clock: milliseconds of one monotonic clock, set once to Unix time. So born_ms needs no
      * translation, and the names on the counter, which the module cuts by time, are alike at all edge nodes.
      */
-    @Override public double now() {
+    @Override
+    public double now() {
         return startedMs + (System.nanoTime() - startedNanos) / 1e6;
     }
 
     /** Runs on the loop after a delay (ms); what it throws is logged and ends there. */
-    @Override public Future<?> after(double delay, Runnable what) {
+    @Override
+    public Future<?> after(double delay, Runnable what) {
         long nanos = Math.max(0, Math.round(delay * 1e6));
         return group.schedule(() -> guarded(what), nanos, TimeUnit.NANOSECONDS);
     }
@@ -425,7 +448,8 @@
         }
     }
 
-    @Override public void log(String where, Throwable what) {
+    @Override
+    public void log(String where, Throwable what) {
         if (++logged > LOGGED) {
             return;
         }
@@ -438,7 +462,8 @@
     }
 
     /** Writes out what the events of this round have left on the connections. */
-    @Override public void flush() {
+    @Override
+    public void flush() {
         if (!dirty.isEmpty()) {
             Channel[] all = dirty.toArray(new Channel[0]);
             dirty.clear();
@@ -481,17 +506,26 @@
         }
         double wait = call.patience() + (body == null ? 0 : body.rest(now));
         double patience = Math.max(1, Math.min(wait, endsAt - now) - WAY_BACK);
-        Request r = new Request(++lastId, slot, retained(command), call, body, now + patience,
-            now + wait);
+        Request r = new Request(++lastId, slot, retained(command), call, body, now + patience, now + wait);
         slot.request = r;
         held += r.bytes;
         openRequests++;
         requests.put(r.id, r);
         r.timer = after(patience + 1, () -> waited(r));
-        event(new Event.Taken(call.id(), call.type(), slot.connection(), slot.connectionAge(),
-            slot.commandsBefore(), patience));
-        if (!tell(m -> m.arrived(now, new Gateway.Request(r.id, call.type(), call.plan(), call.customer(),
-            patience, call.units(), call.spread(), call.first(), call.again())))) {
+        event(new Event.Taken(
+                call.id(), call.type(), slot.connection(), slot.connectionAge(), slot.commandsBefore(), patience));
+        if (!tell(m -> m.arrived(
+                now,
+                new Gateway.Request(
+                        r.id,
+                        call.type(),
+                        call.plan(),
+                        call.customer(),
+                        patience,
+                        call.units(),
+                        call.spread(),
+                        call.first(),
+                        call.again())))) {
             giveUp(r, Gateway.EndReason.NO_DECISION);
         }
         return null;
@@ -549,16 +583,14 @@
         answer(r, new ErrorRedisMessage("ERR failed"), Metrics.Outcome.FAULTED, reason);
     }
 
-    private void answer(Request r, RedisMessage message, Metrics.Outcome outcome,
-        Gateway.EndReason reason) {
+    private void answer(Request r, RedisMessage message, Metrics.Outcome outcome, Gateway.EndReason reason) {
         metrics.unserved(outcome, reason);
         last(r, message, outcome, reason);
         settle(r);
     }
 
     /** The one answer of a request, and the one place where its outcome is counted. */
-    private void last(Request r, RedisMessage message, Metrics.Outcome outcome,
-        Gateway.EndReason reason) {
+    private void last(Request r, RedisMessage message, Metrics.Outcome outcome, Gateway.EndReason reason) {
         if (!guard.mayAnswer(r.call.id(), r.over, now() - r.clientEnds)) {
             ReferenceCountUtil.release(message);
             return;
@@ -643,8 +675,7 @@
             stream = new ValueStream(this, from, r.slot, r.call.type(), length);
             r.slot.stream(stream);
         }
-        tell(m -> m.ended(now, r.id, a.number, Gateway.Outcome.OK, now - a.sent, true, 0,
-            ServerPool.NO_LOAD));
+        tell(m -> m.ended(now, r.id, a.number, Gateway.Outcome.OK, now - a.sent, true, 0, ServerPool.NO_LOAD));
         settle(r);
         return stream;
     }
@@ -666,7 +697,8 @@
     }
 
     /** A list, or a part of one. The pool hears first, so that what waits there does not go to a drain. */
-    @Override public void listed(List<Gateway.Server> list, boolean whole) {
+    @Override
+    public void listed(List<Gateway.Server> list, boolean whole) {
         if (whole) {
             servers.listBegins();
         }
@@ -686,22 +718,26 @@
     }
 
     /** A whole list begins: its parts follow as changes, and what none of them names is gone at its end. */
-    @Override public void listBegins() {
+    @Override
+    public void listBegins() {
         servers.listBegins();
         tell(m -> m.listBegins(now()));
     }
 
-    @Override public void listEnds() {
+    @Override
+    public void listEnds() {
         servers.listEnds();
         tell(m -> m.listEnds(now()));
         servers.known();
     }
 
-    @Override public void say(String what) {
+    @Override
+    public void say(String what) {
         System.err.println(what);
     }
 
-    @Override public void discoveryFailed() {
+    @Override
+    public void discoveryFailed() {
         tell(m -> m.discoveryFailed(now()));
     }
 
@@ -735,13 +771,13 @@
 
     // ---- actions of the module ----
 
-    @Override public void send(long id, String server, double until) {
+    @Override
+    public void send(long id, String server, double until) {
         Request r = requests.get(id);
         if (r == null) {
             return;
         }
-        ServerPool.Attempt a = new ServerPool.Attempt(r, r.attempts.size(), server, now(),
-            servers.told(server));
+        ServerPool.Attempt a = new ServerPool.Attempt(r, r.attempts.size(), server, now(), servers.told(server));
         r.attempts.add(a);
         r.out++;
         if (denies(a)) {
@@ -760,7 +796,8 @@
         servers.send(a);
     }
 
-    @Override public void cancel(long id, int attempt) {
+    @Override
+    public void cancel(long id, int attempt) {
         Request r = requests.get(id);
         if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
             ServerPool.Attempt a = r.attempts.get(attempt);
@@ -768,30 +805,38 @@
         }
     }
 
-    @Override public void refuse(long id, double retryAfter) {
+    @Override
+    public void refuse(long id, double retryAfter) {
         refuse(id, retryAfter, null);
     }
 
-    @Override public void refuse(long id, double retryAfter, Gateway.EndReason reason) {
+    @Override
+    public void refuse(long id, double retryAfter, Gateway.EndReason reason) {
         Request r = requests.get(id);
         if (r != null && !r.over) {
-            answer(r, new ErrorRedisMessage(retryAfter > 0 ? "BUSY " + Math.round(retryAfter) : "BUSY"),
-                Metrics.Outcome.THROTTLED, reason);
+            answer(
+                    r,
+                    new ErrorRedisMessage(retryAfter > 0 ? "BUSY " + Math.round(retryAfter) : "BUSY"),
+                    Metrics.Outcome.THROTTLED,
+                    reason);
         }
     }
 
-    @Override public void fail(long id) {
+    @Override
+    public void fail(long id) {
         fail(id, null);
     }
 
-    @Override public void fail(long id, Gateway.EndReason reason) {
+    @Override
+    public void fail(long id, Gateway.EndReason reason) {
         Request r = requests.get(id);
         if (r != null && !r.over) {
             fail(r, reason);
         }
     }
 
-    @Override public void timer(double delay, long token) {
+    @Override
+    public void timer(double delay, long token) {
         double due = now() + delay;
         after(delay, () -> {
             // the module keeps one timer for all: lost with an exception, nothing would fall due again
@@ -801,27 +846,33 @@
         });
     }
 
-    @Override public void probe(String server) {
+    @Override
+    public void probe(String server) {
         servers.probe(server);
     }
 
-    @Override public void count(long name, double amount, double keepFor) {
+    @Override
+    public void count(long name, double amount, double keepFor) {
         counter.add(name, amount, keepFor);
     }
 
-    @Override public void subscribe() {
+    @Override
+    public void subscribe() {
         discovery.subscribe();
     }
 
-    @Override public void withdraw(String server) {
+    @Override
+    public void withdraw(String server) {
         servers.withdraw(server);
     }
 
-    @Override public void keep(Gateway.Server server) {
+    @Override
+    public void keep(Gateway.Server server) {
         servers.keep(server);
     }
 
-    @Override public void release(String server) {
+    @Override
+    public void release(String server) {
         servers.release(server);
     }
 }
--- a/src/main/java/willowyoke/net/ReadAhead.java
+++ b/src/main/java/willowyoke/net/ReadAhead.java
@@ -61,7 +61,8 @@
         this.shared = shared;
     }
 
-    @Override public void handlerAdded(ChannelHandlerContext context) {
+    @Override
+    public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
     }
 
@@ -90,7 +91,8 @@
         read();
     }
 
-    @Override public void channelRead(ChannelHandlerContext context, Object msg) {
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object msg) {
         if (shut) {
             ReferenceCountUtil.release(msg);
             return;
@@ -100,7 +102,8 @@
         read();
     }
 
-    @Override public void channelReadComplete(ChannelHandlerContext context) {
+    @Override
+    public void channelReadComplete(ChannelHandlerContext context) {
         goOn();
     }
 
@@ -152,7 +155,8 @@
         keep(-bytes);
     }
 
-    @Override public void channelInactive(ChannelHandlerContext context) {
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
         shut();
         context.fireChannelInactive();
     }
--- a/src/main/java/willowyoke/net/Readiness.java
+++ b/src/main/java/willowyoke/net/Readiness.java
@@ -27,11 +27,16 @@
     /** Ready by then (ms), counted from the first line of the program, where the processor allows it. */
     static final double BY = 5000;
 
-    private Readiness() { }
+    private Readiness() {}
 
     /** Done once all three are, or have been waited for; spent are the ms of the start before. */
-    static CompletableFuture<Void> of(Discovery.Host clock, double spent, boolean known,
-        CompletableFuture<Void> discovery, CompletableFuture<Void> servers, CompletableFuture<Void> counter) {
+    static CompletableFuture<Void> of(
+            Discovery.Host clock,
+            double spent,
+            boolean known,
+            CompletableFuture<Void> discovery,
+            CompletableFuture<Void> servers,
+            CompletableFuture<Void> counter) {
         CompletableFuture<Void> list = new CompletableFuture<>();
         discovery.thenRun(() -> list.complete(null));
         if (known) {
--- a/src/main/java/willowyoke/net/Rehearsal.java
+++ b/src/main/java/willowyoke/net/Rehearsal.java
@@ -65,13 +65,14 @@
     private static void call(Node node, String call) throws IOException {
         InetSocketAddress at = (InetSocketAddress) node.control();
         try (Socket operator = new Socket(at.getAddress(), at.getPort())) {
-            operator.getOutputStream().write((call + " HTTP/1.1\r\nHost: edge\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+            operator.getOutputStream()
+                    .write((call + " HTTP/1.1\r\nHost: edge\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             operator.getInputStream().readAllBytes();
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         peers.close();
     }
 
--- a/src/main/java/willowyoke/net/Resp.java
+++ b/src/main/java/willowyoke/net/Resp.java
@@ -1,5 +1,9 @@
 package willowyoke.net;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
@@ -17,10 +21,6 @@
 import io.netty.handler.codec.redis.RedisDecoder;
 import io.netty.handler.codec.redis.RedisEncoder;
 import io.netty.handler.codec.redis.RedisMessage;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,10 +31,11 @@
     static final int VALUE = 64 * 1024;
     /** The most that one value holds. */
     static final int LARGEST = 4 << 20;
+
     private static final int LINE = 4096;
     private static final int DEPTH = 4;
 
-    private Resp() { }
+    private Resp() {}
 
     /** Where a value goes that is too large to be gathered. */
     interface LargeValue {
@@ -56,11 +57,13 @@
     /** The same, but one value of an array may be large: an empty one stands for it in the message. */
     static Raw codec(ChannelPipeline pipeline, int mostElements, LargeValue large) {
         Raw raw = new Raw();
-        pipeline.addLast(raw,
-            new RedisDecoder(LINE, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
-            new Bounds(raw, large),
-            new RedisBulkStringAggregator(), new RedisArrayAggregator(mostElements, DEPTH),
-            new RedisEncoder());
+        pipeline.addLast(
+                raw,
+                new RedisDecoder(LINE, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
+                new Bounds(raw, large),
+                new RedisBulkStringAggregator(),
+                new RedisArrayAggregator(mostElements, DEPTH),
+                new RedisEncoder());
         return raw;
     }
 
@@ -69,7 +72,8 @@
         /** Bytes that have come and belong to no whole message yet. */
         long pending;
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
             pending += ((ByteBuf) msg).readableBytes();
             ctx.fireChannelRead(msg);
         }
@@ -88,8 +92,11 @@
     /** The bytes of a message in its shortest form. */
     private static long length(RedisMessage message) {
         if (message instanceof ArrayRedisMessage array) {
-            return array.isNull() ? 5 : digits(array.children().size()) + 3
-                + array.children().stream().mapToLong(Resp::length).sum();
+            return array.isNull()
+                    ? 5
+                    : digits(array.children().size())
+                            + 3
+                            + array.children().stream().mapToLong(Resp::length).sum();
         }
         if (message instanceof FullBulkStringRedisMessage bulk) {
             int size = bulk.isNull() ? -1 : bulk.content().readableBytes();
@@ -98,7 +105,9 @@
         if (message instanceof AbstractStringRedisMessage line) { // simple strings and errors
             return ByteBufUtil.utf8Bytes(line.content()) + 3;
         }
-        return message instanceof IntegerRedisMessage number ? Long.toString(number.value()).length() + 3 : 0;
+        return message instanceof IntegerRedisMessage number
+                ? Long.toString(number.value()).length() + 3
+                : 0;
     }
 
     private static int digits(int size) {
@@ -111,6 +120,7 @@
         private final LargeValue large;
         /** Elements of the array so far, and all of them. */
         private long elements;
+
         private long size;
         private int streaming;
 
@@ -119,7 +129,8 @@
             this.large = large;
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (streaming > 0) {
                 boolean last = msg instanceof LastBulkStringRedisContent;
                 if (last) {
@@ -145,8 +156,11 @@
         }
 
         private void begin(ChannelHandlerContext ctx, int length) {
-            if (large == null || elements != large.place() || elements >= size || length > LARGEST
-                || !large.begins(length)) {
+            if (large == null
+                    || elements != large.place()
+                    || elements >= size
+                    || length > LARGEST
+                    || !large.begins(length)) {
                 throw new CodecException("a value of more than " + VALUE);
             }
             elements++;
@@ -170,7 +184,8 @@
     /** The text of a bulk string, or null where the message is none. */
     static String text(RedisMessage message) {
         return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()
-            ? bulk.content().toString(StandardCharsets.UTF_8) : null;
+                ? bulk.content().toString(StandardCharsets.UTF_8)
+                : null;
     }
 
     static boolean isValue(RedisMessage message) {
--- a/src/main/java/willowyoke/net/ServerPool.java
+++ b/src/main/java/willowyoke/net/ServerPool.java
@@ -41,10 +41,12 @@
      * reset, and a sweep, the way there and a late loop come between. Of a short limit this part stays.
      */
     private static final double RETIRE_BEFORE = 3000;
+
     private static final double RETIRE_LEAST = 0.4;
     private static final double SWEEP = 500;
     /** The value, the figures on use, the load report. */
     private static final int PARTS = 3;
+
     private static final double PROBE_WITHIN = 250;
     private static final int MOST_ELEMENTS = 16;
     /** An answer that has begun and of which nothing more comes for this long (ms) will not be whole. */
@@ -53,6 +55,7 @@
     private static final int READ_MOST = 16 * 1024;
     /** The kernel's part of it (bytes): when the server ends its side all of that is read at once. */
     private static final int KERNEL = 128 * 1024;
+
     private static final int READ_FIRST = 1024;
     private static final int READ_LEAST = 64;
     /** What was seen of idle connections counts half after this (ms): peers' habits change with the day. */
@@ -60,8 +63,19 @@
     /** Rest (ms) of a connection after an answer: what belongs to no request comes right behind one. */
     private static final double REST = 2;
     /** The reports' names for what the settings call otherwise. */
-    private static final Map<String, String> FIELDS = Map.of("inflight", "outstanding", "queue", "backlog",
-        "util", "utilization", "latency_ms", "recent_ms", "qps", "throughput", "eps", "errors_per_s");
+    private static final Map<String, String> FIELDS = Map.of(
+            "inflight",
+            "outstanding",
+            "queue",
+            "backlog",
+            "util",
+            "utilization",
+            "latency_ms",
+            "recent_ms",
+            "qps",
+            "throughput",
+            "eps",
+            "errors_per_s");
 
     /** What is out on a connection: an attempt of a request, or a probe. */
     static class Attempt {
@@ -71,9 +85,11 @@
         final double sent;
         /** Where it goes, as the list had it then; null where the pool does not use that server. */
         final Gateway.Server place;
+
         boolean done;
         /** Set when it has ended. */
         Gateway.Outcome outcome;
+
         private Link link;
 
         Attempt(Node.Request request, int number, String server, double sent, Gateway.Server place) {
@@ -109,7 +125,7 @@
          * that have stood idle for too long are closed.
          */
         boolean write(Attempt a, double now, IdleLimit limit) {
-            for (Iterator<Link> it = idle.descendingIterator(); it.hasNext();) {
+            for (Iterator<Link> it = idle.descendingIterator(); it.hasNext(); ) {
                 Link link = it.next();
                 if (link.used && !limit.allows(now - link.usedAt)) {
                     it.remove();
@@ -139,10 +155,14 @@
         this.node = node;
         this.config = config;
         this.most = most;
-        bootstrap = new Bootstrap().group(group).channel(Transport.socket())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) config.connectTimeout())
-            .option(ChannelOption.SO_RCVBUF, KERNEL).option(ChannelOption.RECVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST));
+        bootstrap = new Bootstrap()
+                .group(group)
+                .channel(Transport.socket())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) config.connectTimeout())
+                .option(ChannelOption.SO_RCVBUF, KERNEL)
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST));
     }
 
     /** Done when every server that the first list has brought in has had its connection come up or fail. */
@@ -250,8 +270,7 @@
     private void sweep() {
         node.after(SWEEP, this::sweep);
         idleLimit.fade(Math.pow(0.5, SWEEP / FADE));
-        double before = node.now()
-            - Math.max(config.keepAlive() * RETIRE_LEAST, config.keepAlive() - RETIRE_BEFORE);
+        double before = node.now() - Math.max(config.keepAlive() * RETIRE_LEAST, config.keepAlive() - RETIRE_BEFORE);
         for (Target t : targets.values()) {
             while (!t.idle.isEmpty() && t.idle.peek().usedAt < before) {
                 t.idle.poll().close(CloseReason.RETIRED);
@@ -260,8 +279,7 @@
     }
 
     private void isReady() {
-        if (!ready.isDone() && known
-            && targets.values().stream().allMatch(t -> t.connecting == 0)) {
+        if (!ready.isDone() && known && targets.values().stream().allMatch(t -> t.connecting == 0)) {
             ready.complete(null);
         }
     }
@@ -323,8 +341,7 @@
         }
         Link link = a.link;
         boolean unsent = link == null || !link.written;
-        end(a, unsent && outcome == Gateway.Outcome.TIMEOUT ? Gateway.Outcome.NO_CONNECTION : outcome, null,
-            NO_LOAD);
+        end(a, unsent && outcome == Gateway.Outcome.TIMEOUT ? Gateway.Outcome.NO_CONNECTION : outcome, null, NO_LOAD);
         if (link == null) {
             Target t = targets.get(a.server);
             if (t != null) {
@@ -375,13 +392,17 @@
         Link link = new Link(t);
         t.connecting++;
         open++;
-        ChannelFuture connected = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
-            @Override protected void initChannel(SocketChannel channel) {
-                link.channel = channel;
-                link.raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS, link);
-                channel.pipeline().addLast(link);
-            }
-        }).connect(Config.address(t.dial));
+        ChannelFuture connected = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        link.channel = channel;
+                        link.raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS, link);
+                        channel.pipeline().addLast(link);
+                    }
+                })
+                .connect(Config.address(t.dial));
         connected.addListener(f -> {
             t.connecting--;
             if (!f.isSuccess()) {
@@ -406,12 +427,13 @@
     }
 
     private final class Link extends ChannelInboundHandlerAdapter
-        implements Resp.LargeValue, ValueStream.Source, Body.Sink {
+            implements Resp.LargeValue, ValueStream.Source, Body.Sink {
         private final Target target;
         private Channel channel;
         private Attempt current;
         /** The large value that comes, or has come with the rest of its answer still to come. */
         private ValueStream stream;
+
         private Resp.Raw raw;
         private boolean written;
         private boolean answered;
@@ -420,6 +442,7 @@
         private CloseReason closeReason = CloseReason.CLOSED_BY_PEER;
         /** Whether there was a request before the one that is out, and how long ago it was answered. */
         private boolean used;
+
         private double idle;
 
         Link(Target target) {
@@ -440,16 +463,16 @@
             written = false;
             begun = false;
             idle = node.now() - usedAt;
-            ArrayRedisMessage command = a.request == null ? Resp.command(channel.alloc(), "INFO", "load")
-                : a.request.call.forward(a.request.command, a.request.deadline - node.now(), channel.alloc());
+            ArrayRedisMessage command = a.request == null
+                    ? Resp.command(channel.alloc(), "INFO", "load")
+                    : a.request.call.forward(a.request.command, a.request.deadline - node.now(), channel.alloc());
             if (a.request != null && a.request.body != null) {
                 List<RedisMessage> parts = command.children();
                 channel.write(new ArrayHeaderRedisMessage(parts.size()), channel.voidPromise());
                 for (RedisMessage part : parts.subList(0, parts.size() - 1)) {
                     channel.write(part, channel.voidPromise());
                 }
-                channel.write(new BulkStringHeaderRedisMessage(a.request.body.length()),
-                    channel.voidPromise());
+                channel.write(new BulkStringHeaderRedisMessage(a.request.body.length()), channel.voidPromise());
                 ReferenceCountUtil.release(parts.get(parts.size() - 1)); // an empty one, in the body's place
                 a.request.body.to(this);
             } else {
@@ -470,7 +493,8 @@
         }
 
         /** A part of a large body; one whose attempt has ended takes it nowhere. */
-        @Override public boolean write(ByteBuf part, boolean last) {
+        @Override
+        public boolean write(ByteBuf part, boolean last) {
             Attempt a = current;
             if (a == null) {
                 part.release();
@@ -485,7 +509,8 @@
             return channel.isWritable();
         }
 
-        @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        @Override
+        public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (current != null && current.request != null && current.request.body != null) {
                 current.request.body.open(channel.isWritable());
             }
@@ -514,7 +539,8 @@
             }
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
             try {
                 raw.whole((RedisMessage) msg);
                 if (stream != null) { // the figures behind a value that has been passed on
@@ -526,8 +552,13 @@
                 current = null;
                 if (a == null || !written || !answered(a, (RedisMessage) msg)) {
                     if (a != null) { // an answer to a body that is not whole yet: it cannot have run
-                        end(a, written || a.request == null || a.request.body == null ? Gateway.Outcome.ERROR
-                            : Gateway.Outcome.NO_CONNECTION, null, NO_LOAD);
+                        end(
+                                a,
+                                written || a.request == null || a.request.body == null
+                                        ? Gateway.Outcome.ERROR
+                                        : Gateway.Outcome.NO_CONNECTION,
+                                null,
+                                NO_LOAD);
                     }
                     close(CloseReason.UNASKED); // or not this: what comes next belongs to nobody
                     return;
@@ -539,12 +570,14 @@
             }
         }
 
-        @Override public int place() {
+        @Override
+        public int place() {
             return 0;
         }
 
         /** The request is as good as answered: the value is the client's from its first bytes on. */
-        @Override public boolean begins(int length) {
+        @Override
+        public boolean begins(int length) {
             Attempt a = current;
             if (a == null || !written || a.request == null) {
                 return false;
@@ -556,7 +589,8 @@
             return stream != null;
         }
 
-        @Override public void content(ByteBuf part, boolean last) {
+        @Override
+        public void content(ByteBuf part, boolean last) {
             if (stream == null) {
                 part.release(); // its stream has ended, and this connection with it
             } else {
@@ -567,21 +601,26 @@
             }
         }
 
-        @Override public void read(boolean on) {
+        @Override
+        public void read(boolean on) {
             if (channel.config().isAutoRead() != on) {
                 channel.config().setAutoRead(on);
             }
         }
 
-        @Override public void stop() {
+        @Override
+        public void stop() {
             stream = null;
             close(CloseReason.VALUE_NOT_WANTED);
         }
 
         /** Takes an answer in one of the protocol's forms; false where it is in none: it may have run. */
         private boolean answered(Attempt a, RedisMessage msg) {
-            if (msg instanceof ArrayRedisMessage array && !array.isNull() && array.children().size() == PARTS
-                && Resp.isValue(array.children().get(0)) && a.request != null) {
+            if (msg instanceof ArrayRedisMessage array
+                    && !array.isNull()
+                    && array.children().size() == PARTS
+                    && Resp.isValue(array.children().get(0))
+                    && a.request != null) {
                 List<RedisMessage> parts = array.children();
                 end(a, Gateway.Outcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
             } else if (msg instanceof ErrorRedisMessage error) {
@@ -592,8 +631,11 @@
                     return false;
                 }
                 int space = text.lastIndexOf(' ');
-                end(a, busy ? Gateway.Outcome.FULL : Gateway.Outcome.ERROR, null,
-                    text.indexOf('=', space) > 0 ? load(text.substring(space + 1)) : NO_LOAD);
+                end(
+                        a,
+                        busy ? Gateway.Outcome.FULL : Gateway.Outcome.ERROR,
+                        null,
+                        text.indexOf('=', space) > 0 ? load(text.substring(space + 1)) : NO_LOAD);
             } else if (a.request == null && Resp.isValue(msg)) {
                 end(a, Gateway.Outcome.OK, null, load(Resp.text(msg)));
             } else {
@@ -606,7 +648,8 @@
          * A connection is used again only after an answer with nothing behind it: a second copy or half a
          * message would be taken for the next request's. One with half an answer is waited for, but not long.
          */
-        @Override public void channelReadComplete(ChannelHandlerContext ctx) {
+        @Override
+        public void channelReadComplete(ChannelHandlerContext ctx) {
             if (stream == null && current == null && raw.pending != 0) {
                 close(CloseReason.UNASKED);
             } else if (answered) {
@@ -650,7 +693,8 @@
             }
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             open--;
             node.serverClosed(target.id, closeReason);
             target.idle.remove(this);
@@ -674,7 +718,8 @@
             node.flush();
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // behind our own close the codec tells only of what it had not read to its end
             if (!(cause instanceof java.io.IOException) && (current != null || channel.isActive())) {
                 node.log("app server connection", cause);
--- a/src/main/java/willowyoke/net/ShutdownBudget.java
+++ b/src/main/java/willowyoke/net/ShutdownBudget.java
@@ -17,7 +17,7 @@
      */
     private static final double RESERVE = 300;
 
-    private ShutdownBudget() { }
+    private ShutdownBudget() {}
 
     /** How long after SIGTERM (ms) all that is taken has to be answered. */
     static double answersDue(Gateway.Settings settings) {
@@ -26,8 +26,10 @@
 
     /** How long after SIGTERM (ms) SIGKILL may come; settings that tell no deadline may have any. */
     static double earliestKill(Gateway.Settings settings) {
-        double longest = settings.classes().stream().mapToDouble(Gateway.RequestClass::deadline).max()
-            .orElse(0);
+        double longest = settings.classes().stream()
+                .mapToDouble(Gateway.RequestClass::deadline)
+                .max()
+                .orElse(0);
         double counted = longest > 0 ? Math.min(longest, DEADLINE_COUNTED) : DEADLINE_COUNTED;
         return counted + KILL_BEHIND_DEADLINE;
     }
--- a/src/main/java/willowyoke/net/StartLog.java
+++ b/src/main/java/willowyoke/net/StartLog.java
@@ -12,13 +12,14 @@
 public final class StartLog {
     /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
     private static final int USER = 11;
+
     private static final int SYSTEM = 12;
     private static final int STARTED = 19;
     private static final int TICK = 10;
     private static final long BEGUN = System.nanoTime();
     private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
 
-    private StartLog() { }
+    private StartLog() {}
 
     /** How long (ms) the program has run since its first line here. */
     public static double spent() {
--- a/src/main/java/willowyoke/net/Transport.java
+++ b/src/main/java/willowyoke/net/Transport.java
@@ -30,9 +30,10 @@
      * Epoll, told of an end, reads up to it whatever is left; else as much as the system's buffers hold.
      */
     private static final int AHEAD = 64 * 1024;
+
     private static final int AHEAD_UNTOLD = 256 * 1024;
 
-    private Transport() { }
+    private Transport() {}
 
     static int ahead() {
         return epoll ? AHEAD : AHEAD_UNTOLD;
@@ -46,14 +47,12 @@
     }
 
     static EventLoopGroup loop() {
-        return new MultiThreadIoEventLoopGroup(1,
-            epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
+        return new MultiThreadIoEventLoopGroup(1, epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
     /** Lets a second process listen at the same address. */
     static ChannelOption<Boolean> shared() {
-        return epoll ? UnixChannelOption.SO_REUSEPORT
-            : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+        return epoll ? UnixChannelOption.SO_REUSEPORT : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
     }
 
     static Class<? extends SocketChannel> socket() {
--- a/src/main/java/willowyoke/net/ValueStream.java
+++ b/src/main/java/willowyoke/net/ValueStream.java
@@ -25,6 +25,7 @@
 
     /** With no byte from the server, or none taken by the client, for so long (ms) the value ends there. */
     private static final double STALLED = 5000;
+
     private static final double CHECK = 500;
 
     private final Node node;
@@ -34,6 +35,7 @@
     private final int length;
     /** What came with the first bytes while answers before this one were not written yet. */
     private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
+
     private Channel sink;
     private boolean whole;
     private boolean over;
--- a/src/main/java/willowyoke/net/Warmup.java
+++ b/src/main/java/willowyoke/net/Warmup.java
@@ -33,6 +33,7 @@
      * seventh of a core beside others that start it would be more, and a cold node is better than none.
      */
     static final double MOST_TIME = 2500;
+
     private static final int SERVERS = 8;
     private static final int CUSTOMERS = 97;
     private static final double STEP = 8;
@@ -85,16 +86,30 @@
     }
 
     private void round(int i) {
-        Gateway.RequestClass type = settings.classes().get(i % settings.classes().size());
+        Gateway.RequestClass type =
+                settings.classes().get(i % settings.classes().size());
         Gateway.Plan plan = settings.plans().get(i % settings.plans().size());
         String verb = type.effect() == Gateway.Effect.SAFE ? "CALL.GET" : "CALL.POST";
-        client.writeInbound(bytes(array(verb, customer(i % CUSTOMERS), Integer.toHexString(i),
-            "c=" + type.name() + ",t=" + plan.name() + ",d=" + Math.round(type.deadline()) + ",k=" + i
-            + ",units=1,spread=" + Math.min(2, settings.nodes()) + ",first=0")));
+        client.writeInbound(bytes(array(
+                verb,
+                customer(i % CUSTOMERS),
+                Integer.toHexString(i),
+                "c=" + type.name() + ",t=" + plan.name() + ",d=" + Math.round(type.deadline()) + ",k=" + i
+                        + ",units=1,spread=" + Math.min(2, settings.nodes()) + ",first=0")));
         ArrayRedisMessage command = client.readInbound();
         Call call = Call.of(command, settings);
-        module.arrived(now, new Gateway.Request(i, call.type(), call.plan(), call.customer(),
-            call.patience(), call.units(), call.spread(), call.first(), call.again()));
+        module.arrived(
+                now,
+                new Gateway.Request(
+                        i,
+                        call.type(),
+                        call.plan(),
+                        call.customer(),
+                        call.patience(),
+                        call.units(),
+                        call.spread(),
+                        call.first(),
+                        call.again()));
         pass(server, call.forward(command, call.patience(), server.alloc()));
         server.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
         ArrayRedisMessage value = server.readInbound();
@@ -137,26 +152,34 @@
         }
     }
 
-    @Override public void send(long id, String to, double until) {
+    @Override
+    public void send(long id, String to, double until) {
         told.add(() -> module.ended(now, id, 0, Gateway.Outcome.OK, STEP, true, 0, ServerPool.NO_LOAD));
     }
 
-    @Override public void count(long name, double amount, double keepFor) {
+    @Override
+    public void count(long name, double amount, double keepFor) {
         double total = totals.merge(name, amount, Double::sum);
         told.add(() -> module.counted(now, name, Gateway.Outcome.OK, 1, total));
     }
 
-    @Override public void timer(double delay, long token) {
+    @Override
+    public void timer(double delay, long token) {
         timers.add(now + delay);
     }
 
-    @Override public void cancel(long id, int attempt) { }
+    @Override
+    public void cancel(long id, int attempt) {}
 
-    @Override public void refuse(long id, double retryAfter) { }
+    @Override
+    public void refuse(long id, double retryAfter) {}
 
-    @Override public void fail(long id) { }
+    @Override
+    public void fail(long id) {}
 
-    @Override public void probe(String to) { }
+    @Override
+    public void probe(String to) {}
 
-    @Override public void subscribe() { }
+    @Override
+    public void subscribe() {}
 }
--- a/src/main/java/willowyoke/scale/AgentStandIn.java
+++ b/src/main/java/willowyoke/scale/AgentStandIn.java
@@ -42,12 +42,13 @@
  */
 public final class AgentStandIn implements AutoCloseable {
     /** How lists are written. */
-    public record Form(boolean torn, boolean indented) { }
+    public record Form(boolean torn, boolean indented) {}
 
     private static final String PATH = "/catalog/members";
     private static final long BEAT = 2;
     /** Torn lists come in parts of up to so many bytes, with a pause (us) between. */
     private static final int PART = 20_000;
+
     private static final int PAUSE = 300;
 
     private final EventLoopGroup group;
@@ -59,15 +60,15 @@
     private final SplittableRandom random;
     /** The changes since version 1, in their order; a watch may begin at any of them. */
     private final List<Integer> changed = new ArrayList<>();
+
     private final Gateway.State[] health;
     private final long[] bornMs;
     private byte[] whole;
     private boolean silent;
     final AtomicLong bytes = new AtomicLong();
 
-    public AgentStandIn(EventLoopGroup group, int port, Servers servers, IntFunction<String> dial, Form form,
-        long seed)
-        throws InterruptedException {
+    public AgentStandIn(EventLoopGroup group, int port, Servers servers, IntFunction<String> dial, Form form, long seed)
+            throws InterruptedException {
         this.group = group;
         this.servers = servers;
         this.dial = dial;
@@ -77,10 +78,11 @@
         health = new Gateway.State[servers.size()];
         java.util.Arrays.fill(health, Gateway.State.UP);
         bornMs = new long[servers.size()];
-        listener = Loops.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-            () -> List.of(new HttpServerCodec(), new HttpObjectAggregator(4096), new Asked()));
-        group.scheduleAtFixedRate(() -> push("\n".getBytes(StandardCharsets.US_ASCII)), BEAT, BEAT,
-            TimeUnit.SECONDS);
+        listener = Loops.listen(
+                group,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                () -> List.of(new HttpServerCodec(), new HttpObjectAggregator(4096), new Asked()));
+        group.scheduleAtFixedRate(() -> push("\n".getBytes(StandardCharsets.US_ASCII)), BEAT, BEAT, TimeUnit.SECONDS);
     }
 
     public int port() {
@@ -117,9 +119,11 @@
     private byte[] list(boolean all, Iterable<Integer> which) {
         String space = form.indented ? "\n  " : "";
         ByteArrayOutputStream text = new ByteArrayOutputStream();
-        put(text, "{" + space + "\"seq\":" + (1 + changed.size()) + ',' + space + "\"whole\":" + all + ','
-            + space
-            + "\"hosts\":[");
+        put(
+                text,
+                "{" + space + "\"seq\":" + (1 + changed.size()) + ',' + space + "\"whole\":" + all + ','
+                        + space
+                        + "\"hosts\":[");
         String comma = "";
         for (int server : which) {
             put(text, comma + space + entry(server));
@@ -141,9 +145,9 @@
             case GONE -> "left";
         };
         return "{\"host\":\"" + s.id() + "\",\"dial\":\"" + dial.apply(server) + "\",\"site\":\"" + s.zone()
-            + "\",\"class\":\"m\",\"block\":" + s.cell() + ",\"health\":\"" + word
-            + "\",\"share\":1.0,\"born_ms\":"
-            + bornMs[server] + "}";
+                + "\",\"class\":\"m\",\"block\":" + s.cell() + ",\"health\":\"" + word
+                + "\",\"share\":1.0,\"born_ms\":"
+                + bornMs[server] + "}";
     }
 
     /** The whole list as text, in discovery's form. */
@@ -177,20 +181,22 @@
         group.schedule(() -> send(to, list, then), random.nextInt(PAUSE), TimeUnit.MICROSECONDS);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listener.close().syncUninterruptibly();
         watches.close();
     }
 
     private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder asked = new QueryStringDecoder(request.uri());
             if (silent) {
                 return;
             }
             boolean found = asked.path().equals(PATH) && request.method().equals(HttpMethod.GET);
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-                found ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND);
+            DefaultHttpResponse head = new DefaultHttpResponse(
+                    HttpVersion.HTTP_1_1, found ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND);
             if (!found) {
                 HttpUtil.setContentLength(head, 0);
                 ctx.write(head);
@@ -202,15 +208,20 @@
             } else {
                 HttpUtil.setContentLength(head, whole().length);
                 ctx.write(head);
-                send(ctx.channel(), Unpooled.wrappedBuffer(whole()),
-                    () -> ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+                send(
+                        ctx.channel(),
+                        Unpooled.wrappedBuffer(whole()),
+                        () -> ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
             }
         }
 
         /** What has changed since the version that is named, or the whole list where it is not known. */
         private byte[] since(QueryStringDecoder asked) {
             try {
-                int from = Integer.parseInt(asked.parameters().getOrDefault("since", List.of("")).get(0)) - 1;
+                int from = Integer.parseInt(asked.parameters()
+                                .getOrDefault("since", List.of(""))
+                                .get(0))
+                        - 1;
                 return list(false, new LinkedHashSet<>(changed.subList(from, changed.size())));
             } catch (NumberFormatException | IndexOutOfBoundsException e) {
                 return whole();
@@ -219,7 +230,8 @@
             }
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 System.err.println("agent: " + cause);
             }
--- a/src/main/java/willowyoke/scale/Answers.java
+++ b/src/main/java/willowyoke/scale/Answers.java
@@ -16,7 +16,8 @@
     /** Takes a command; answers on the loop, now or later, or never. */
     public abstract void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer);
 
-    @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         List<String> words = Loops.words(message);
         ReferenceCountUtil.release(message);
         String[] slot = new String[1];
@@ -40,7 +41,8 @@
         ctx.flush();
     }
 
-    @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
             System.err.println("stand-in: " + cause);
         }
--- a/src/main/java/willowyoke/scale/ChangeExperiment.java
+++ b/src/main/java/willowyoke/scale/ChangeExperiment.java
@@ -13,42 +13,56 @@
 import willowyoke.Gateway;
 
 /** Real nodes under load; servers begin to drain, one after another, and come back. */
-@Command(name = "change", mixinStandardHelpOptions = true,
-    description = "Time from a change at the agent to the last real node's last request against it")
+@Command(
+        name = "change",
+        mixinStandardHelpOptions = true,
+        description = "Time from a change at the agent to the last real node's last request against it")
 final class ChangeExperiment extends Experiment {
     private static final int SETTLED = 4000;
     /** Memory of a node: more than so many would take over half of a usual machine. */
     private static final int NODES_MOST = 32;
 
-    @Option(names = "--root", defaultValue = ".", description = "the repository's folder, built "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
     Path root;
 
-    @Option(names = "--nodes", split = ",", defaultValue = "1,2,3,4",
-        description = "real nodes, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--nodes",
+            split = ",",
+            defaultValue = "1,2,3,4",
+            description = "real nodes, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
-    @Option(names = "--servers", defaultValue = "10", description = "servers listed: few, so that each has "
-        + "traffic at any time (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--servers",
+            defaultValue = "10",
+            description = "servers listed: few, so that each has " + "traffic at any time (default ${DEFAULT-VALUE})")
     int listed;
 
-    @Option(names = "--rate", defaultValue = "183", description = "requests a second and node "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "183",
+            description = "requests a second and node " + "(default ${DEFAULT-VALUE})")
     double rate;
 
     @Option(names = "--changes", defaultValue = "20", description = "a point (default ${DEFAULT-VALUE})")
     int changes;
 
-    @Option(names = "--pause-ms", defaultValue = "400", description = "after each change "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--pause-ms",
+            defaultValue = "400",
+            description = "after each change " + "(default ${DEFAULT-VALUE})")
     int pause;
 
-    @Override void measure() throws Exception {
+    @Override
+    void measure() throws Exception {
         atLeast(sizes, 1, "--nodes");
-        require(sizes.stream().allMatch(s -> s <= NODES_MOST), "--nodes has to be " + NODES_MOST
-            + " or less");
-        require(listed > 1 && rate > 0 && changes > 0 && pause > 0,
-            "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
+        require(sizes.stream().allMatch(s -> s <= NODES_MOST), "--nodes has to be " + NODES_MOST + " or less");
+        require(
+                listed > 1 && rate > 0 && changes > 0 && pause > 0,
+                "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
         NodeLaunch.run(root);
         for (int size : sizes) {
             progress(size + " nodes");
@@ -62,18 +76,17 @@
         Servers all = new Servers(listed, 1);
         List<RealNode> nodes = new ArrayList<>();
         try (PlaceServers place = new PlaceServers(peers, listed, 0, 1);
-            CounterStandIn counter = new CounterStandIn(peers, 0, 1e4, 0);
-            AgentStandIn agent = new AgentStandIn(peers, 0, all, place::dial,
-                new AgentStandIn.Form(false, false), seed)) {
+                CounterStandIn counter = new CounterStandIn(peers, 0, 1e4, 0);
+                AgentStandIn agent =
+                        new AgentStandIn(peers, 0, all, place::dial, new AgentStandIn.Form(false, false), seed)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                nodes.add(RealNode.start(root, Site.keys(i, size, 1), "null", agent.port(), counter.port(),
-                    seed + i));
+                nodes.add(RealNode.start(root, Site.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
                 addresses.add(nodes.get(i).address);
                 inTimeNow();
             }
-            LoadDriver load = new LoadDriver(clients, addresses, size, new Customers(1000, Customers.SKEW),
-                rate * size, seed);
+            LoadDriver load =
+                    new LoadDriver(clients, addresses, size, new Customers(1000, Customers.SKEW), rate * size, seed);
             load.start();
             Thread.sleep(SETTLED);
             Histogram times = new Histogram(3);
--- a/src/main/java/willowyoke/scale/CounterStandIn.java
+++ b/src/main/java/willowyoke/scale/CounterStandIn.java
@@ -35,14 +35,14 @@
     public volatile boolean silent;
 
     public CounterStandIn(EventLoopGroup group, int port, double perSecond, double delayMs)
-        throws InterruptedException {
+            throws InterruptedException {
         perCall = Math.round(1e9 / perSecond);
         delay = Math.round(delayMs * 1e6);
         listener = Loops.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), () -> {
             List<ChannelHandler> handlers = Loops.resp();
             handlers.add(new Answers() {
-                @Override public void command(ChannelHandlerContext ctx, List<String> words,
-                    Consumer<String> answer) {
+                @Override
+                public void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer) {
                     call(ctx, words, answer);
                 }
             });
@@ -64,9 +64,11 @@
             answer.accept("-ERR no such call\r\n");
             return;
         }
-        boolean good = words.size() == 4 && words.get(0).equals("CNT.ADD") && words.get(1)
-            .length() <= NAME_MOST
-            && Math.abs(amount) <= AMOUNT_MOST && life >= 1;
+        boolean good = words.size() == 4
+                && words.get(0).equals("CNT.ADD")
+                && words.get(1).length() <= NAME_MOST
+                && Math.abs(amount) <= AMOUNT_MOST
+                && life >= 1;
         if (!good) {
             answer.accept("-ERR no such call\r\n");
             return;
@@ -77,8 +79,11 @@
         }
         long now = System.nanoTime();
         free = Math.max(free, now) + perCall;
-        ctx.executor().schedule(() -> answer.accept(Loops.bulk(add(words.get(1), amount, life))),
-            free - now + delay, TimeUnit.NANOSECONDS);
+        ctx.executor()
+                .schedule(
+                        () -> answer.accept(Loops.bulk(add(words.get(1), amount, life))),
+                        free - now + delay,
+                        TimeUnit.NANOSECONDS);
     }
 
     /** Seven digits of a total are told. */
@@ -98,7 +103,8 @@
         return String.format(Locale.ROOT, "%.7g", t.value);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listener.close().syncUninterruptibly();
     }
 }
--- a/src/main/java/willowyoke/scale/Experiment.java
+++ b/src/main/java/willowyoke/scale/Experiment.java
@@ -20,26 +20,29 @@
 
     /** The clock is asked for the end of the run every so many events. */
     private static final int EVENTS = 256;
+
     private static final long PROGRESS = 5_000_000_000L;
 
     @Option(names = "--seed", defaultValue = "1", description = "of all chance (default ${DEFAULT-VALUE})")
     long seed;
 
-    @Option(names = "--out", paramLabel = "FILE",
-        description = "writes the rows as .csv or .json, one a line")
+    @Option(names = "--out", paramLabel = "FILE", description = "writes the rows as .csv or .json, one a line")
     Path out;
 
     @Option(names = "--append", description = "keeps the rows that FILE has")
     boolean append;
 
-    @Option(names = "--max-seconds", defaultValue = "600",
-        description = "ends after this, with the points so far and exit code 1 (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--max-seconds",
+            defaultValue = "600",
+            description = "ends after this, with the points so far and exit code 1 (default ${DEFAULT-VALUE})")
     int maxSeconds;
 
     @Option(names = "--commit", description = "of the build, for the rows (default: asked of git)")
     String commit;
 
-    @Spec CommandSpec spec;
+    @Spec
+    CommandSpec spec;
 
     Results results;
     private long end;
@@ -49,12 +52,11 @@
     /** Measures, and adds each point to the results. */
     abstract void measure() throws Exception;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         require(maxSeconds > 0, "--max-seconds has to be above 0");
-        require(out == null || out.toString().matches(".*\\.(csv|json)"),
-            "--out has to end in .csv or .json");
-        require(out == null || Files.isDirectory(out.toAbsolutePath().getParent()),
-            "no folder for --out " + out);
+        require(out == null || out.toString().matches(".*\\.(csv|json)"), "--out has to end in .csv or .json");
+        require(out == null || Files.isDirectory(out.toAbsolutePath().getParent()), "no folder for --out " + out);
         results = new Results(commandLine(), commit == null ? commitOfFolder() : commit);
         end = System.nanoTime() + maxSeconds * 1_000_000_000L;
         shown = System.nanoTime();
@@ -63,8 +65,7 @@
             measure();
         } catch (TimeUp e) {
             whole = false;
-            System.err.println("stopped: --max-seconds " + maxSeconds
-                + " are over, not all points are measured");
+            System.err.println("stopped: --max-seconds " + maxSeconds + " are over, not all points are measured");
         }
         results.printFits();
         if (out != null) {
@@ -109,8 +110,10 @@
         long now = System.nanoTime();
         if (now - shown > PROGRESS) {
             shown = now;
-            System.err.println(spec == null ? what : spec.name() + ": " + what + ", "
-                + Math.max(0, (end - now) / 1_000_000_000L) + " s left");
+            System.err.println(
+                    spec == null
+                            ? what
+                            : spec.name() + ": " + what + ", " + Math.max(0, (end - now) / 1_000_000_000L) + " s left");
         }
     }
 
@@ -125,15 +128,17 @@
                 line.append(line.length() == 0 ? "" : " ").append(args.get(i));
             }
         }
-        ManagementFactory.getRuntimeMXBean().getInputArguments().stream().filter(a -> a.startsWith("-X"))
-            .forEach(a -> line.append(' ').append(a));
+        ManagementFactory.getRuntimeMXBean().getInputArguments().stream()
+                .filter(a -> a.startsWith("-X"))
+                .forEach(a -> line.append(' ').append(a));
         return line.toString();
     }
 
     private static String commitOfFolder() {
         try {
             Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+                    .redirectError(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             String told = new String(git.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).strip();
             return git.waitFor() == 0 ? told : "unknown";
         } catch (IOException e) {
--- a/src/main/java/willowyoke/scale/Fit.java
+++ b/src/main/java/willowyoke/scale/Fit.java
@@ -12,14 +12,20 @@
         int n = points.size();
         double meanX = points.stream().mapToDouble(p -> p[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(p -> p[1]).average().orElse(0);
-        double xx = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[0] - meanX)).sum();
-        double xy = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY)).sum();
+        double xx = points.stream()
+                .mapToDouble(p -> (p[0] - meanX) * (p[0] - meanX))
+                .sum();
+        double xy = points.stream()
+                .mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY))
+                .sum();
         if (n < LEAST || xx == 0) {
             return null;
         }
         double slope = xy / xx;
         double intercept = meanY - slope * meanX;
-        double squares = points.stream().mapToDouble(p -> Math.pow(p[1] - intercept - slope * p[0], 2)).sum();
+        double squares = points.stream()
+                .mapToDouble(p -> Math.pow(p[1] - intercept - slope * p[0], 2))
+                .sum();
         return new Fit(slope, intercept, Math.sqrt(squares / n));
     }
 }
--- a/src/main/java/willowyoke/scale/Fleet.java
+++ b/src/main/java/willowyoke/scale/Fleet.java
@@ -13,6 +13,7 @@
     static final double START = 1_700_000_000_000.0;
     /** To a server and back (ms), and until a connection that cannot be made is given up. */
     private static final double WAY = 0.5;
+
     private static final double CONNECT_TIMEOUT = 250;
     /** Nodes have their first list within this (ms), so that they don't act in step. */
     private static final double FIRST_LIST = 200;
@@ -74,8 +75,16 @@
         HollowNode node = nodes[(first + random.nextInt(spread)) % nodes.length];
         arrivals++;
         if (node.up()) { // the front takes it elsewhere in time; meanwhile it is lost with the node
-            node.arrive(new Gateway.Request(arrivals, Site.type(random.nextDouble()), Site.PLAN,
-                customers.name(customer), Site.DEADLINE, 1, spread, first, false));
+            node.arrive(new Gateway.Request(
+                    arrivals,
+                    Site.type(random.nextDouble()),
+                    Site.PLAN,
+                    customers.name(customer),
+                    Site.DEADLINE,
+                    1,
+                    spread,
+                    first,
+                    false));
         }
     }
 
@@ -149,7 +158,8 @@
 
     // ---- what nodes meet ----
 
-    @Override public void attempt(HollowNode node, HollowNode.Attempt a) {
+    @Override
+    public void attempt(HollowNode node, HollowNode.Attempt a) {
         double work = -shape.service * Math.log(1 - random.nextDouble());
         clock.after(WAY / 2, () -> {
             HollowServer host = hosts[a.server];
@@ -158,8 +168,9 @@
                 clock.after(CONNECT_TIMEOUT, () -> node.ended(a, Gateway.Outcome.NO_CONNECTION));
                 return;
             }
-            Gateway.Outcome at = host.life == HollowServer.Life.REFUSES ? Gateway.Outcome.NO_CONNECTION
-                : host.take(work, () -> back(node, a, Gateway.Outcome.OK));
+            Gateway.Outcome at = host.life == HollowServer.Life.REFUSES
+                    ? Gateway.Outcome.NO_CONNECTION
+                    : host.take(work, () -> back(node, a, Gateway.Outcome.OK));
             if (at != null) {
                 back(node, a, at);
             }
@@ -170,7 +181,8 @@
         clock.after(WAY / 2, () -> node.ended(a, outcome));
     }
 
-    @Override public void count(HollowNode node, long name, double amount) {
+    @Override
+    public void count(HollowNode node, long name, double amount) {
         if (reach(node, 0)) {
             counter.add(node, name, amount);
         } else {
--- a/src/main/java/willowyoke/scale/FleetExperiment.java
+++ b/src/main/java/willowyoke/scale/FleetExperiment.java
@@ -4,29 +4,40 @@
 import picocli.CommandLine.Option;
 
 /** Fleets of several sizes in ordinary traffic: connections and load of a server, calls to the counter. */
-@Command(name = "fleet", mixinStandardHelpOptions = true,
-    description = "Connections and load a server, and counter calls, over the number of hollow nodes")
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description = "Connections and load a server, and counter calls, over the number of hollow nodes")
 final class FleetExperiment extends FleetRun {
     /** Rates are learnt and first lists have come by then (virtual ms). */
     private static final double SETTLED = 5000;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "virtual seconds that are measured "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "virtual seconds that are measured " + "(default ${DEFAULT-VALUE})")
     int seconds;
 
-    @Option(names = "--together", defaultValue = "2000000", description = "entries of all nodes' lists up to "
-        + "which nodes share one clock; larger fleets run a node at a time (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--together",
+            defaultValue = "2000000",
+            description = "entries of all nodes' lists up to "
+                    + "which nodes share one clock; larger fleets run a node at a time (default ${DEFAULT-VALUE})")
     long together;
 
-    @Option(names = "--threads", defaultValue = "3", description = "for nodes that run one at a time "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--threads",
+            defaultValue = "3",
+            description = "for nodes that run one at a time " + "(default ${DEFAULT-VALUE})")
     int threads;
 
-    @Override void check() {
+    @Override
+    void check() {
         require(seconds > 0 && threads > 0, "--seconds and --threads have to be above 0");
     }
 
-    @Override void point(int size) throws Exception {
+    @Override
+    void point(int size) throws Exception {
         if ((long) size * shape.servers(size) <= together) {
             together(size);
         } else {
@@ -70,12 +81,20 @@
         double called = (fleet.counter.calls - calls) / (double) seconds;
         results.add("fleet.counter_calls_per_node_s", "nodes", size, called / size, "1/s");
         results.add("fleet.counter_calls_all_s", "nodes", size, called, "1/s");
-        results.add("fleet.served_share", "nodes", size,
-            (fleet.served() - served) / (double) (fleet.arrivals() - arrivals), "share");
+        results.add(
+                "fleet.served_share",
+                "nodes",
+                size,
+                (fleet.served() - served) / (double) (fleet.arrivals() - arrivals),
+                "share");
         results.add("fleet.latency_mean", "nodes", size, fleet.latency.getMean() / 1000, "ms");
         for (double p : new double[] {50, 99, 99.9}) {
-            results.add("fleet.latency_p" + Results.number(p), "nodes", size,
-                fleet.latency.getValueAtPercentile(p) / 1000.0, "ms");
+            results.add(
+                    "fleet.latency_p" + Results.number(p),
+                    "nodes",
+                    size,
+                    fleet.latency.getValueAtPercentile(p) / 1000.0,
+                    "ms");
         }
     }
 
--- a/src/main/java/willowyoke/scale/FleetRun.java
+++ b/src/main/java/willowyoke/scale/FleetRun.java
@@ -8,10 +8,14 @@
 abstract class FleetRun extends Experiment {
     private static final double STEP = 100;
 
-    @Mixin Shape shape;
-
-    @Option(names = "--nodes", split = ",", defaultValue = "5,10,20,30",
-        description = "hollow nodes, a point each (default ${DEFAULT-VALUE})")
+    @Mixin
+    Shape shape;
+
+    @Option(
+            names = "--nodes",
+            split = ",",
+            defaultValue = "5,10,20,30",
+            description = "hollow nodes, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
     abstract void point(int size) throws Exception;
@@ -19,7 +23,8 @@
     /** What is wrong with the options. */
     abstract void check();
 
-    @Override void measure() throws Exception {
+    @Override
+    void measure() throws Exception {
         shape.check();
         atLeast(sizes, 1, "--nodes");
         check();
@@ -39,7 +44,7 @@
         for (double left = milliseconds; left > 0; left -= STEP) {
             fleet.run(Math.min(STEP, left));
             progress(fleet.nodes.length + " nodes, " + fleet.servers.size() + " servers, virtual second "
-                + Math.round((fleet.clock.now() - Fleet.START) / 1000));
+                    + Math.round((fleet.clock.now() - Fleet.START) / 1000));
         }
     }
 }
--- a/src/main/java/willowyoke/scale/HollowCounter.java
+++ b/src/main/java/willowyoke/scale/HollowCounter.java
@@ -30,8 +30,7 @@
         clock.after(free - asked, () -> {
             double total = totals.merge(name, amount, Double::sum);
             if (!isLate) {
-                clock.after(way / 2,
-                    () -> from.counted(life, name, Gateway.Outcome.OK, clock.now() - asked, total));
+                clock.after(way / 2, () -> from.counted(life, name, Gateway.Outcome.OK, clock.now() - asked, total));
             }
         });
         if (isLate) {
@@ -43,7 +42,7 @@
     /** A call that is never answered. */
     void silent(HollowNode from, long name) {
         int life = from.life();
-        clock.after(Site.COUNTER_TIMEOUT, () -> from.counted(life, name, Gateway.Outcome.TIMEOUT,
-            Site.COUNTER_TIMEOUT, 0));
+        clock.after(
+                Site.COUNTER_TIMEOUT, () -> from.counted(life, name, Gateway.Outcome.TIMEOUT, Site.COUNTER_TIMEOUT, 0));
     }
 }
--- a/src/main/java/willowyoke/scale/HollowNode.java
+++ b/src/main/java/willowyoke/scale/HollowNode.java
@@ -70,6 +70,7 @@
     private CpuMeter meter;
     /** Events of a process that was killed are dropped by this. */
     private int life;
+
     long sends;
     long calls;
     long served;
@@ -206,7 +207,8 @@
 
     // ---- actions ----
 
-    @Override public void send(long id, String server, double until) {
+    @Override
+    public void send(long id, String server, double until) {
         Open o = open.get(id);
         if (o == null) {
             return;
@@ -222,45 +224,54 @@
         peers.attempt(this, a);
     }
 
-    @Override public void cancel(long id, int attempt) {
+    @Override
+    public void cancel(long id, int attempt) {
         Open o = open.get(id);
         if (o != null) {
             later(0, () -> ended(o.attempts.get(attempt), Gateway.Outcome.CANCELLED));
         }
     }
 
-    @Override public void refuse(long id, double retryAfter) {
+    @Override
+    public void refuse(long id, double retryAfter) {
         Open o = open.get(id);
         if (o != null) {
             over(o, () -> refused++);
         }
     }
 
-    @Override public void fail(long id) {
+    @Override
+    public void fail(long id) {
         Open o = open.get(id);
         if (o != null) {
             over(o, () -> failed++);
         }
     }
 
-    @Override public void timer(double delay, long token) {
+    @Override
+    public void timer(double delay, long token) {
         later(delay, () -> tell(m -> m.timer(clock.now(), token)));
     }
 
-    @Override public void probe(String server) { }
+    @Override
+    public void probe(String server) {}
 
-    @Override public void count(long name, double amount, double keepFor) {
+    @Override
+    public void count(long name, double amount, double keepFor) {
         calls++;
         peers.count(this, name, amount);
     }
 
-    @Override public void subscribe() { }
+    @Override
+    public void subscribe() {}
 
-    @Override public void keep(Gateway.Server server) {
+    @Override
+    public void keep(Gateway.Server server) {
         kept.set(Servers.number(server.id()));
     }
 
-    @Override public void release(String server) {
+    @Override
+    public void release(String server) {
         kept.clear(Servers.number(server));
     }
 }
--- a/src/main/java/willowyoke/scale/HollowServer.java
+++ b/src/main/java/willowyoke/scale/HollowServer.java
@@ -5,7 +5,11 @@
 
 /** A place server on the virtual clock: slots, a bounded queue, and a slow start after it was cold. */
 final class HollowServer {
-    enum Life { UP, REFUSES, SILENT }
+    enum Life {
+        UP,
+        REFUSES,
+        SILENT
+    }
 
     /** What it is and can do; shared by all servers of a run. */
     record Kind(int slots, int queue, double service) {
@@ -15,7 +19,7 @@
         }
     }
 
-    private record Job(double work, Runnable done) { }
+    private record Job(double work, Runnable done) {}
 
     private final Kind kind;
     private final VirtualClock clock;
--- a/src/main/java/willowyoke/scale/LoadDriver.java
+++ b/src/main/java/willowyoke/scale/LoadDriver.java
@@ -25,10 +25,11 @@
 final class LoadDriver {
     /** Clients have up to a third of a node's descriptors. */
     private static final int CONNECTIONS = 300;
+
     private static final double LONGEST_US = 60e6;
 
     /** A request that is to go to a node at a time (ns). */
-    private record Asked(Target target, String command, long intended) { }
+    private record Asked(Target target, String command, long intended) {}
 
     private static final class Target {
         final InetSocketAddress address;
@@ -42,7 +43,7 @@
     }
 
     /** What has become of the requests since the last time. */
-    record Figures(long asked, long served, long refused, long failed, Histogram added) { }
+    record Figures(long asked, long served, long refused, long failed, Histogram added) {}
 
     private final EventLoopGroup group;
     private final List<Target> targets;
@@ -60,8 +61,13 @@
     private Histogram added = new Histogram(3);
 
     /** The nodes may be the first of a larger fleet: the sets of their customers are then of that size. */
-    LoadDriver(EventLoopGroup group, List<InetSocketAddress> nodes, int fleet, Customers customers,
-        double rate, long seed) {
+    LoadDriver(
+            EventLoopGroup group,
+            List<InetSocketAddress> nodes,
+            int fleet,
+            Customers customers,
+            double rate,
+            long seed) {
         this.fleet = fleet;
         this.group = group;
         this.customers = customers;
@@ -79,19 +85,21 @@
 
     void stop() throws InterruptedException {
         group.submit(() -> {
-            stopped = true;
-            targets.forEach(t -> t.idle.forEach(Channel::close));
-        }).await();
+                    stopped = true;
+                    targets.forEach(t -> t.idle.forEach(Channel::close));
+                })
+                .await();
     }
 
     /** What has happened since the last call. */
     Figures take() throws Exception {
         return group.submit(() -> {
-            Figures now = new Figures(asked, served, refused, failed, added);
-            asked = served = refused = failed = 0;
-            added = new Histogram(3);
-            return now;
-        }).get();
+                    Figures now = new Figures(asked, served, refused, failed, added);
+                    asked = served = refused = failed = 0;
+                    added = new Histogram(3);
+                    return now;
+                })
+                .get();
     }
 
     /** All that are due by now go; the next time is by the plan, not by when this ran. */
@@ -114,10 +122,10 @@
         String type = Site.type(random.nextDouble());
         String id = String.format("%016x", ++ids);
         String list = "c=" + type + ",t=" + Site.PLAN + ",d=" + Math.round(Site.DEADLINE)
-            + (type.equals(Site.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first=" + first;
-        String command = type.equals(Site.READ) ? Loops.command("CALL.GET", customers.name(customer), id,
-            list)
-            : Loops.command("CALL.POST", customers.name(customer), id, list, "body");
+                + (type.equals(Site.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first=" + first;
+        String command = type.equals(Site.READ)
+                ? Loops.command("CALL.GET", customers.name(customer), id, list)
+                : Loops.command("CALL.POST", customers.name(customer), id, list, "body");
         asked++;
         Asked a = new Asked(target, command, intended);
         Channel idle = target.idle.poll();
@@ -128,13 +136,13 @@
         target.waiting.add(a);
         if (target.connections < CONNECTIONS) {
             target.connections++;
-            Loops.connect(group, target.address, new RedisDecoder(), new RedisBulkStringAggregator(),
-                new Line(target)).addListener(f -> {
-                    if (!f.isSuccess()) {
-                        target.connections--;
-                        failWaiting(target);
-                    }
-                });
+            Loops.connect(group, target.address, new RedisDecoder(), new RedisBulkStringAggregator(), new Line(target))
+                    .addListener(f -> {
+                        if (!f.isSuccess()) {
+                            target.connections--;
+                            failWaiting(target);
+                        }
+                    });
         }
     }
 
@@ -158,7 +166,8 @@
             this.target = target;
         }
 
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             free(ctx.channel());
         }
 
@@ -171,7 +180,8 @@
             }
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
             Asked a = out;
             if (a == null) {
                 return; // no request of ours
@@ -180,10 +190,10 @@
             if (answer instanceof FullBulkStringRedisMessage value && !value.isNull()) {
                 served++;
                 String held = value.content().toString(StandardCharsets.US_ASCII);
-                double took = System.nanoTime() - a.intended
-                    - Double.parseDouble(held.substring("held=".length()));
+                double took = System.nanoTime() - a.intended - Double.parseDouble(held.substring("held=".length()));
                 added.recordValue((long) Math.max(1, Math.min(took / 1000, LONGEST_US)));
-            } else if (answer instanceof ErrorRedisMessage error && error.content().startsWith("BUSY")) {
+            } else if (answer instanceof ErrorRedisMessage error
+                    && error.content().startsWith("BUSY")) {
                 refused++;
             } else {
                 failed++;
@@ -191,14 +201,16 @@
             free(ctx.channel());
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             target.connections--;
             target.idle.remove(ctx.channel());
             failed += out == null ? 0 : 1;
             out = null;
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
--- a/src/main/java/willowyoke/scale/LoneNodes.java
+++ b/src/main/java/willowyoke/scale/LoneNodes.java
@@ -22,6 +22,7 @@
 final class LoneNodes {
     /** Rates are learnt, and a node has its set, by then (virtual ms). */
     private static final double SETTLED = 3000;
+
     private static final double STEP = 100;
 
     private final Shape shape;
@@ -100,27 +101,27 @@
         Map<Long, Double> totals = new HashMap<>();
         boolean[] measured = new boolean[1];
         HollowNode.Peers peers = new HollowNode.Peers() {
-            @Override public void attempt(HollowNode node, HollowNode.Attempt a) {
+            @Override
+            public void attempt(HollowNode node, HollowNode.Attempt a) {
                 if (measured[0]) {
                     load.incrementAndGet(a.server);
                 }
-                clock.after(-shape.service * Math.log(1 - random.nextDouble()),
-                    () -> node.ended(a, Gateway.Outcome.OK));
+                clock.after(
+                        -shape.service * Math.log(1 - random.nextDouble()), () -> node.ended(a, Gateway.Outcome.OK));
             }
 
-            @Override public void count(HollowNode node, long name, double amount) {
+            @Override
+            public void count(HollowNode node, long name, double amount) {
                 double total = totals.merge(name, amount, Double::sum);
                 int life = node.life();
-                clock.after(shape.counterWay,
-                    () -> node.counted(life, name, Gateway.Outcome.OK, shape.counterWay, total));
+                clock.after(
+                        shape.counterWay, () -> node.counted(life, name, Gateway.Outcome.OK, shape.counterWay, total));
             }
         };
-        HollowNode node = new HollowNode(Site.settings(first, rank, size, shape.zones), clock, peers,
-            new Histogram(3));
+        HollowNode node = new HollowNode(Site.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
         node.start(random.nextLong());
         node.servers(whole, true);
-        Customers customers = new Customers((int) Math.max(10, shape.customersPerNode * Site.SPREAD),
-            Customers.SKEW);
+        Customers customers = new Customers((int) Math.max(10, shape.customersPerNode * Site.SPREAD), Customers.SKEW);
         next(clock, random, node, customers, new long[1]);
         run(clock, SETTLED);
         measured[0] = true;
@@ -132,17 +133,23 @@
 
     private static void run(VirtualClock clock, double milliseconds) {
         for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP) {
-            clock.to(clock.now() + STEP, () -> { });
+            clock.to(clock.now() + STEP, () -> {});
         }
     }
 
-    private void next(VirtualClock clock, SplittableRandom random, HollowNode node, Customers customers,
-        long[] ids) {
+    private void next(VirtualClock clock, SplittableRandom random, HollowNode node, Customers customers, long[] ids) {
         clock.after(-1000 / shape.rate * Math.log(1 - random.nextDouble()), () -> {
             next(clock, random, node, customers, ids);
-            node.arrive(new Gateway.Request(++ids[0], Site.type(random.nextDouble()), Site.PLAN,
-                customers.name(customers.pick(random)), Site.DEADLINE, 1, Math.min(size, Site.SPREAD),
-                node.rank, false));
+            node.arrive(new Gateway.Request(
+                    ++ids[0],
+                    Site.type(random.nextDouble()),
+                    Site.PLAN,
+                    customers.name(customers.pick(random)),
+                    Site.DEADLINE,
+                    1,
+                    Math.min(size, Site.SPREAD),
+                    node.rank,
+                    false));
         });
     }
 }
