--- a/src/main/java/willowyoke/scale/Loops.java
+++ b/src/main/java/willowyoke/scale/Loops.java
@@ -30,45 +30,55 @@
     private static final int BACKLOG = 1024;
     /** More than any message of the protocol has. */
     private static final int ELEMENTS = 16;
+
     private static final int DEPTH = 4;
 
-    private Loops() { }
+    private Loops() {}
 
     public static EventLoopGroup one() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
     /** Listens, each connection with handlers of its own; a port that is taken is told with the port. */
-    public static Channel listen(EventLoopGroup group, InetSocketAddress at,
-        Supplier<List<ChannelHandler>> handlers) throws InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override protected void initChannel(SocketChannel c) {
-                    if (!c.localAddress().getAddress().isLoopbackAddress()) {
-                        c.close(); // a listener for all of 127/8 hears the other addresses too
-                        return;
+    public static Channel listen(EventLoopGroup group, InetSocketAddress at, Supplier<List<ChannelHandler>> handlers)
+            throws InterruptedException {
+        ChannelFuture bound = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel c) {
+                        if (!c.localAddress().getAddress().isLoopbackAddress()) {
+                            c.close(); // a listener for all of 127/8 hears the other addresses too
+                            return;
+                        }
+                        handlers.get().forEach(c.pipeline()::addLast);
                     }
-                    handlers.get().forEach(c.pipeline()::addLast);
-                }
-            }).bind(at).await();
+                })
+                .bind(at)
+                .await();
         if (!bound.isSuccess()) {
             throw new Refused("cannot listen at " + at.getAddress().getHostAddress() + ":" + at.getPort()
-                + ": "
-                + bound.cause().getMessage());
+                    + ": "
+                    + bound.cause().getMessage());
         }
         return bound.channel();
     }
 
-    public static ChannelFuture connect(EventLoopGroup group, InetSocketAddress to,
-        ChannelHandler... handlers) {
-        return new Bootstrap().group(group).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
-            true)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override protected void initChannel(SocketChannel c) {
-                    c.pipeline().addLast(handlers);
-                }
-            }).connect(to);
+    public static ChannelFuture connect(EventLoopGroup group, InetSocketAddress to, ChannelHandler... handlers) {
+        return new Bootstrap()
+                .group(group)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel c) {
+                        c.pipeline().addLast(handlers);
+                    }
+                })
+                .connect(to);
     }
 
     public static int port(Channel listener) {
@@ -77,8 +87,8 @@
 
     /** Whole RESP messages. */
     public static List<ChannelHandler> resp() {
-        return new ArrayList<>(List.of(new RedisDecoder(), new RedisBulkStringAggregator(),
-            new RedisArrayAggregator(ELEMENTS, DEPTH)));
+        return new ArrayList<>(List.of(
+                new RedisDecoder(), new RedisBulkStringAggregator(), new RedisArrayAggregator(ELEMENTS, DEPTH)));
     }
 
     /** The words of a command; empty where it is no array of bulk strings. */
--- a/src/main/java/willowyoke/scale/ModuleExperiment.java
+++ b/src/main/java/willowyoke/scale/ModuleExperiment.java
@@ -12,47 +12,64 @@
 import willowyoke.Gateway;
 
 /** The decision module alone: what a request, a change of the list and its state cost. */
-@Command(name = "module", mixinStandardHelpOptions = true,
-    description = "CPU a request and a list change, and memory, of the module alone on a virtual clock")
+@Command(
+        name = "module",
+        mixinStandardHelpOptions = true,
+        description = "CPU a request and a list change, and memory, of the module alone on a virtual clock")
 final class ModuleExperiment extends Experiment {
     /** Memory is measured over so many entries at least: one small module is lost in the heap's noise. */
     private static final int ENTRIES = 20_000;
+
     private static final int MODULES_MOST = 200;
     private static final int CHANGES = 200;
     /** Requests before the first point, so that all points are of compiled code. */
     private static final int WARM = 20_000;
+
     private static final double START = 1_700_000_000_000.0;
     private static final double STEP = 1000;
 
-    @Option(names = "--servers", split = ",", defaultValue = "10,200,2000,20000,200000",
-        description = "servers listed, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--servers",
+            split = ",",
+            defaultValue = "10,200,2000,20000,200000",
+            description = "servers listed, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
-    @Option(names = "--customers", split = ",", defaultValue = "300,1000,3000,30000",
-        description = "customers, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--customers",
+            split = ",",
+            defaultValue = "300,1000,3000,30000",
+            description = "customers, a point each (default ${DEFAULT-VALUE})")
     List<Integer> customers;
 
-    @Option(names = "--rate", defaultValue = "183",
-        description = "requests a second (default ${DEFAULT-VALUE})")
+    @Option(names = "--rate", defaultValue = "183", description = "requests a second (default ${DEFAULT-VALUE})")
     double rate;
 
-    @Option(names = "--nodes", defaultValue = "8200", description = "edge nodes of the fleet that the "
-        + "module is told of (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--nodes",
+            defaultValue = "8200",
+            description = "edge nodes of the fleet that the " + "module is told of (default ${DEFAULT-VALUE})")
     int nodes;
 
     @Option(names = "--zones", defaultValue = "18", description = "zones (default ${DEFAULT-VALUE})")
     int zones;
 
-    @Option(names = "--service-ms", defaultValue = "30", description = "mean time of a server for a "
-        + "request (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--service-ms",
+            defaultValue = "30",
+            description = "mean time of a server for a " + "request (default ${DEFAULT-VALUE})")
     double service;
 
-    @Option(names = "--seconds", defaultValue = "30", description = "virtual seconds a point at most "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "30",
+            description = "virtual seconds a point at most " + "(default ${DEFAULT-VALUE})")
     int seconds;
 
-    @Option(names = "--point-seconds", defaultValue = "20", description = "real seconds of load a point, "
-        + "about (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--point-seconds",
+            defaultValue = "20",
+            description = "real seconds of load a point, " + "about (default ${DEFAULT-VALUE})")
     int pointSeconds;
 
     /** One module with its load. */
@@ -76,36 +93,47 @@
             clock.after(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
                 next();
                 int customer = asking.pick(random);
-                node.arrive(new Gateway.Request(++requests, Site.type(random.nextDouble()), Site.PLAN,
-                    asking.name(customer), Site.DEADLINE, 1, Math.min(nodes, Site.SPREAD), 0, false));
+                node.arrive(new Gateway.Request(
+                        ++requests,
+                        Site.type(random.nextDouble()),
+                        Site.PLAN,
+                        asking.name(customer),
+                        Site.DEADLINE,
+                        1,
+                        Math.min(nodes, Site.SPREAD),
+                        0,
+                        false));
             });
         }
 
         /** Load for so long (virtual ms), or about so many real seconds. */
         void run(double virtual, double real) {
             long end = System.nanoTime() + (long) (real * 1e9);
-            for (double to = clock.now() + virtual; clock.now() < to && System.nanoTime() < end;) {
+            for (double to = clock.now() + virtual; clock.now() < to && System.nanoTime() < end; ) {
                 clock.to(Math.min(to, clock.now() + STEP / 10), ModuleExperiment.this::inTime);
             }
         }
 
-        @Override public void attempt(HollowNode from, HollowNode.Attempt a) {
-            clock.after(-service * Math.log(1 - random.nextDouble()),
-                () -> from.ended(a, Gateway.Outcome.OK));
+        @Override
+        public void attempt(HollowNode from, HollowNode.Attempt a) {
+            clock.after(-service * Math.log(1 - random.nextDouble()), () -> from.ended(a, Gateway.Outcome.OK));
         }
 
-        @Override public void count(HollowNode from, long name, double amount) {
+        @Override
+        public void count(HollowNode from, long name, double amount) {
             double total = totals.merge(name, amount, Double::sum);
             int life = from.life();
             clock.after(1, () -> from.counted(life, name, Gateway.Outcome.OK, 1, total));
         }
     }
 
-    @Override void measure() {
+    @Override
+    void measure() {
         atLeast(sizes, 1, "--servers");
         atLeast(customers, 1, "--customers");
-        require(rate > 0 && nodes > 0 && zones > 0 && service > 0 && seconds > 0 && pointSeconds > 0,
-            "--rate, --nodes, --zones, --service-ms, --seconds and --point-seconds have to be above 0");
+        require(
+                rate > 0 && nodes > 0 && zones > 0 && service > 0 && seconds > 0 && pointSeconds > 0,
+                "--rate, --nodes, --zones, --service-ms, --seconds and --point-seconds have to be above 0");
         Load warm = new Load(customers.get(0));
         warm.node.servers(new Servers(sizes.get(0), zones).whole(), true);
         warm.next();
@@ -137,8 +165,7 @@
         long calls = load.node.calls;
         load.run(seconds * STEP, pointSeconds);
         double lasted = (load.clock.now() - since) / STEP;
-        results.add("module.cpu_us_per_request", x, at,
-            load.meter.take() / Math.max(1, load.requests - before), "us");
+        results.add("module.cpu_us_per_request", x, at, load.meter.take() / Math.max(1, load.requests - before), "us");
         results.add("module.counter_calls_per_s", x, at, (load.node.calls - calls) / lasted, "1/s");
         changes(load, servers, x, at);
     }
@@ -187,8 +214,16 @@
         load.node.servers(new Servers(size, zones).whole(), true);
         for (int i = 0; i < many; i++) { // all of them within the time that idle ones are kept
             load.clock.to(load.clock.now() + 10_000.0 / many, this::inTime);
-            load.node.arrive(new Gateway.Request(i, Site.READ, Site.PLAN, load.asking.name(i), Site.DEADLINE,
-                1, Math.min(nodes, Site.SPREAD), 0, false));
+            load.node.arrive(new Gateway.Request(
+                    i,
+                    Site.READ,
+                    Site.PLAN,
+                    load.asking.name(i),
+                    Site.DEADLINE,
+                    1,
+                    Math.min(nodes, Site.SPREAD),
+                    0,
+                    false));
         }
         load.clock.to(load.clock.now() + 2 * Site.DEADLINE, this::inTime);
         load.totals.clear(); // the counter's, not the node's
--- a/src/main/java/willowyoke/scale/NestedJson.java
+++ b/src/main/java/willowyoke/scale/NestedJson.java
@@ -9,7 +9,7 @@
 
 /** Settings by path as the nested object that a configuration holds. */
 public final class NestedJson {
-    private NestedJson() { }
+    private NestedJson() {}
 
     /** Members that are named 0, 1 and so on beside a count are a list. */
     public static String of(Map<String, String> keys) throws IOException {
--- a/src/main/java/willowyoke/scale/NodeExperiment.java
+++ b/src/main/java/willowyoke/scale/NodeExperiment.java
@@ -13,60 +13,90 @@
 import willowyoke.Gateway;
 
 /** One real node, as the deploy file runs it, among stand-ins on loopback. */
-@Command(name = "node", mixinStandardHelpOptions = true,
-    description = "CPU, memory and added latency of a real node by servers, load and changes")
+@Command(
+        name = "node",
+        mixinStandardHelpOptions = true,
+        description = "CPU, memory and added latency of a real node by servers, load and changes")
 final class NodeExperiment extends Experiment {
     /** Connections, rates and compiled code stand by then (ms). */
     private static final int SETTLED = 6000;
+
     private static final int STEP = 100;
     private static final double MS = 1000;
 
-    @Option(names = "--root", defaultValue = ".", description = "the repository's folder, built "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
     Path root;
 
-    @Option(names = "--servers", split = ",", defaultValue = "10,200,2000,20000,200000",
-        description = "servers listed, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--servers",
+            split = ",",
+            defaultValue = "10,200,2000,20000,200000",
+            description = "servers listed, a point each (default ${DEFAULT-VALUE})")
     List<Integer> servers;
 
-    @Option(names = "--rates", split = ",", defaultValue = "25,50,100,200,400",
-        description = "requests a second, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rates",
+            split = ",",
+            defaultValue = "25,50,100,200,400",
+            description = "requests a second, a point each (default ${DEFAULT-VALUE})")
     List<Integer> rates;
 
-    @Option(names = "--customers", split = ",", defaultValue = "100,1000,10000,100000",
-        description = "customers, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--customers",
+            split = ",",
+            defaultValue = "100,1000,10000,100000",
+            description = "customers, a point each (default ${DEFAULT-VALUE})")
     List<Integer> customers;
 
-    @Option(names = "--changes", split = ",", defaultValue = "0,1,4,16",
-        description = "changes of the list a second, a point each (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--changes",
+            split = ",",
+            defaultValue = "0,1,4,16",
+            description = "changes of the list a second, a point each (default ${DEFAULT-VALUE})")
     List<Integer> changes;
 
-    @Option(names = "--usual", split = ",", arity = "1", defaultValue = "200,183,1000,0",
-        description = "SERVERS,RATE,CUSTOMERS,CHANGES of what is not varied (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--usual",
+            split = ",",
+            arity = "1",
+            defaultValue = "200,183,1000,0",
+            description = "SERVERS,RATE,CUSTOMERS,CHANGES of what is not varied (default ${DEFAULT-VALUE})")
     int[] usual;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "of load that are measured, a point "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "of load that are measured, a point " + "(default ${DEFAULT-VALUE})")
     int seconds;
 
-    @Option(names = "--nodes", defaultValue = "8200",
-        description = "edge nodes of the fleet that the node is "
-        + "told of (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--nodes",
+            defaultValue = "8200",
+            description = "edge nodes of the fleet that the node is " + "told of (default ${DEFAULT-VALUE})")
     int nodes;
 
     @Option(names = "--zones", defaultValue = "3", description = "zones (default ${DEFAULT-VALUE})")
     int zones;
 
-    @Option(names = "--service-ms", defaultValue = "20", description = "time of a server for a request "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--service-ms",
+            defaultValue = "20",
+            description = "time of a server for a request " + "(default ${DEFAULT-VALUE})")
     double service;
 
-    @Option(names = "--counter-per-s", defaultValue = "1500", description = "calls that the counter serves "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-per-s",
+            defaultValue = "1500",
+            description = "calls that the counter serves " + "(default ${DEFAULT-VALUE})")
     double counterRate;
 
-    @Option(names = "--counter-ms", defaultValue = "1", description = "delay of the counter "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--counter-ms",
+            defaultValue = "1",
+            description = "delay of the counter " + "(default ${DEFAULT-VALUE})")
     double counterDelay;
 
     @Option(names = "--torn", description = "the agent sends its lists in small parts")
@@ -75,11 +105,11 @@
     @Option(names = "--indented", description = "the agent indents its lists")
     boolean indented;
 
-    @Option(names = "--server-port", defaultValue = "0",
-        description = "of all place servers; 0 takes a free one")
+    @Option(names = "--server-port", defaultValue = "0", description = "of all place servers; 0 takes a free one")
     int serverPort;
 
-    @Override void measure() throws Exception {
+    @Override
+    void measure() throws Exception {
         check();
         for (int i : servers) {
             point("listed_servers", i, i, usual[1], usual[2], usual[3]);
@@ -102,8 +132,9 @@
         atLeast(customers, 1, "--customers");
         atLeast(changes, 0, "--changes");
         require(usual[0] > 0 && usual[1] > 0 && usual[2] > 0 && usual[3] >= 0, "--usual has to be above 0");
-        require(seconds > 0 && nodes > 0 && zones > 0 && service >= 0 && counterRate > 0 && counterDelay >= 0,
-            "--seconds, --nodes, --zones, --service-ms, --counter-per-s and --counter-ms have to be above 0");
+        require(
+                seconds > 0 && nodes > 0 && zones > 0 && service >= 0 && counterRate > 0 && counterDelay >= 0,
+                "--seconds, --nodes, --zones, --service-ms, --counter-per-s and --counter-ms have to be above 0");
         require(serverPort >= 0 && serverPort < 65_536, "--server-port has to be a port");
         NodeLaunch.run(root); // told before the first point, not after it
     }
@@ -115,14 +146,13 @@
         EventLoopGroup clients = Loops.one();
         Servers all = new Servers(listed, zones);
         try (PlaceServers place = new PlaceServers(peers, listed, serverPort, service);
-            CounterStandIn counter = new CounterStandIn(peers, 0, counterRate, counterDelay);
-            AgentStandIn agent = new AgentStandIn(peers, 0, all, place::dial,
-                new AgentStandIn.Form(torn, indented), seed);
-            RealNode node = RealNode.start(root, Site.keys(0, nodes, zones), "null", agent.port(),
-                counter.port(),
-                seed)) {
-            LoadDriver load = new LoadDriver(clients, List.of(node.address), nodes,
-                new Customers(asking, Customers.SKEW), rate, seed);
+                CounterStandIn counter = new CounterStandIn(peers, 0, counterRate, counterDelay);
+                AgentStandIn agent =
+                        new AgentStandIn(peers, 0, all, place::dial, new AgentStandIn.Form(torn, indented), seed);
+                RealNode node =
+                        RealNode.start(root, Site.keys(0, nodes, zones), "null", agent.port(), counter.port(), seed)) {
+            LoadDriver load = new LoadDriver(
+                    clients, List.of(node.address), nodes, new Customers(asking, Customers.SKEW), rate, seed);
             results.add("node.ready", x, at, node.readySeconds, "s");
             results.add("node.list_bytes", x, at, agent.whole().length, "bytes");
             load.start();
@@ -147,8 +177,7 @@
             results.add("node.server_connections", x, at, place.connections(), "connections");
             results.add("node.counter_calls_per_s", x, at, (counter.calls.get() - calls) / lasted, "1/s");
             results.add("node.discovery_bytes_per_s", x, at, (agent.bytes.get() - bytes) / lasted, "bytes/s");
-            results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.asked()),
-                "share");
+            results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.asked()), "share");
             latency("node.added", x, at, told.added());
             load.stop();
         } catch (RealNode.NotReady e) {
@@ -174,12 +203,16 @@
     private Future<?> changes(EventLoopGroup group, AgentStandIn agent, Servers all, int perSecond) {
         SplittableRandom random = new SplittableRandom(seed);
         int[] last = {-1};
-        return group.scheduleAtFixedRate(() -> {
-            boolean back = last[0] >= 0;
-            int server = back ? last[0] : random.nextInt(all.size());
-            last[0] = back ? -1 : server;
-            agent.change(Set.of(server), back ? Gateway.State.UP : Gateway.State.DRAINING, 0);
-        }, 0, 1_000_000_000L / perSecond, TimeUnit.NANOSECONDS);
+        return group.scheduleAtFixedRate(
+                () -> {
+                    boolean back = last[0] >= 0;
+                    int server = back ? last[0] : random.nextInt(all.size());
+                    last[0] = back ? -1 : server;
+                    agent.change(Set.of(server), back ? Gateway.State.UP : Gateway.State.DRAINING, 0);
+                },
+                0,
+                1_000_000_000L / perSecond,
+                TimeUnit.NANOSECONDS);
     }
 
     private void await(RealNode node, int milliseconds) throws InterruptedException {
--- a/src/main/java/willowyoke/scale/NodeLaunch.java
+++ b/src/main/java/willowyoke/scale/NodeLaunch.java
@@ -14,14 +14,15 @@
 public final class NodeLaunch {
     /** What a node may have on the days that are scored. */
     public static final int MEMORY_MB = 192;
+
     private static final int SOCKETS = 1024;
     private static final Path DEPLOY = Path.of("deploy", "balancer.toml");
     private static final Pattern RUN = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
 
     /** Where a node listens and whom it calls, each as host:port. */
-    public record Addresses(String listen, String discovery, String counter) { }
+    public record Addresses(String listen, String discovery, String counter) {}
 
-    private NodeLaunch() { }
+    private NodeLaunch() {}
 
     /** The shell's command that ends in the node's process; root is the repository's folder, built. */
     public static List<String> command(Path root) throws IOException {
@@ -32,8 +33,7 @@
     static String run(Path root) throws IOException {
         Path deploy = root.resolve(DEPLOY);
         if (!Files.isReadable(deploy)) {
-            throw new Refused("no " + deploy
-                + ": start it in the repository's folder, or name it with --root");
+            throw new Refused("no " + deploy + ": start it in the repository's folder, or name it with --root");
         }
         Matcher run = RUN.matcher(Files.readString(deploy));
         if (!run.find()) {
@@ -43,18 +43,25 @@
     }
 
     /** The configuration file's text; known is the list that the node had, as JSON, or null. */
-    public static String configuration(String name, Addresses at, long seed, String known,
-        Map<String, String> settings) throws IOException {
+    public static String configuration(String name, Addresses at, long seed, String known, Map<String, String> settings)
+            throws IOException {
         return "{\"name\":\"" + name + "\",\"listen\":\"" + at.listen + "\",\"discovery\":\"" + at.discovery
-            + "\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
-            + MEMORY_MB + ",\"sockets\":" + SOCKETS + "},\"counter\":\"" + at.counter + "\",\"known\":"
-            + known + ",\"settings\":" + NestedJson.of(settings) + "}";
+                + "\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
+                + MEMORY_MB + ",\"sockets\":" + SOCKETS + "},\"counter\":\"" + at.counter + "\",\"known\":"
+                + known + ",\"settings\":" + NestedJson.of(settings) + "}";
     }
 
     /** What the platform sets in the node's environment; discovery and counter stand in the file alone. */
     public static Map<String, String> environment(String name, Addresses at, Path config, Path temporary) {
-        return Map.of("EDGE_NAME", name, "EDGE_LISTEN", at.listen, "EDGE_CONFIG", config.toString(),
-            "TMPDIR", temporary.toString());
+        return Map.of(
+                "EDGE_NAME",
+                name,
+                "EDGE_LISTEN",
+                at.listen,
+                "EDGE_CONFIG",
+                config.toString(),
+                "TMPDIR",
+                temporary.toString());
     }
 
     /** Deletes a node's folder with all that is in it; nothing where there is none. */
--- a/src/main/java/willowyoke/scale/PlaceServers.java
+++ b/src/main/java/willowyoke/scale/PlaceServers.java
@@ -20,12 +20,14 @@
 final class PlaceServers implements AutoCloseable {
     /** The first server is 127.16.0.0: away from the addresses that a machine uses itself. */
     private static final int FIRST = 127 << 24 | 16 << 16;
+
     private static final int MOST = 1 << 19;
 
     private final Channel listener;
     private final double serviceMs;
     /** Requests got, connections open, and when (ns) the last request came, by number of server. */
     final AtomicLongArray got;
+
     final AtomicIntegerArray open;
     final AtomicLongArray lastGot;
 
@@ -72,18 +74,19 @@
 
     static InetAddress address(int server) throws UnknownHostException {
         int at = FIRST + server;
-        return InetAddress.getByAddress(new byte[] {(byte) (at >> 24), (byte) (at >> 16), (byte) (at >> 8),
-            (byte) at});
+        return InetAddress.getByAddress(new byte[] {(byte) (at >> 24), (byte) (at >> 16), (byte) (at >> 8), (byte) at});
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listener.close().syncUninterruptibly();
     }
 
     private final class Connection extends Answers {
         private int server = -1;
 
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             int at = number((InetSocketAddress) ctx.channel().localAddress());
             if (at < 0 || at >= got.length()) {
                 ctx.close(); // no server of this run has that address
@@ -93,20 +96,21 @@
             open.incrementAndGet(server);
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             if (server >= 0) {
                 open.decrementAndGet(server);
             }
         }
 
-        @Override public void command(ChannelHandlerContext ctx, List<String> words,
-            Consumer<String> answer) {
+        @Override
+        public void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer) {
             if (!words.get(0).startsWith("CALL.")) {
                 answer.accept(words.get(0).equals("INFO") ? "-NOPERM\r\n" : "-ERR unknown command\r\n");
                 return;
             }
             boolean form = words.size() == (words.get(0).equals("CALL.GET") ? 4 : 5)
-                && words.get(3).matches("c=[^,]+,t=[^,]+,d=\\d+(,.*)?");
+                    && words.get(3).matches("c=[^,]+,t=[^,]+,d=\\d+(,.*)?");
             if (!form) {
                 answer.accept("-SYNTAX\r\n");
                 return;
@@ -114,9 +118,12 @@
             long from = System.nanoTime();
             got.incrementAndGet(server);
             lastGot.set(server, from);
-            ctx.executor().schedule(() -> answer.accept(
-                "*3\r\n" + Loops.bulk("held=" + (System.nanoTime() - from)) + "$-1\r\n$-1\r\n"),
-                Math.round(serviceMs * 1e6), TimeUnit.NANOSECONDS);
+            ctx.executor()
+                    .schedule(
+                            () -> answer.accept(
+                                    "*3\r\n" + Loops.bulk("held=" + (System.nanoTime() - from)) + "$-1\r\n$-1\r\n"),
+                            Math.round(serviceMs * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
     }
 }
--- a/src/main/java/willowyoke/scale/RampExperiment.java
+++ b/src/main/java/willowyoke/scale/RampExperiment.java
@@ -7,26 +7,32 @@
 import willowyoke.Gateway;
 
 /** Servers are replaced and come back cold: what they get of all nodes while they warm up. */
-@Command(name = "ramp", mixinStandardHelpOptions = true,
-    description = "The sums that cold servers get of all hollow nodes, over every window of the settings")
+@Command(
+        name = "ramp",
+        mixinStandardHelpOptions = true,
+        description = "The sums that cold servers get of all hollow nodes, over every window of the settings")
 final class RampExperiment extends FleetRun {
     private static final double SETTLED = 6000;
 
-    @Option(names = "--part", defaultValue = "0.1", description = "of the servers that are replaced together "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--part",
+            defaultValue = "0.1",
+            description = "of the servers that are replaced together " + "(default ${DEFAULT-VALUE})")
     double part;
 
-    @Option(names = "--restart-nodes", defaultValue = "0.2",
-        description = "part of the nodes that are killed "
-        + "together during the ramp (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--restart-nodes",
+            defaultValue = "0.2",
+            description = "part of the nodes that are killed " + "together during the ramp (default ${DEFAULT-VALUE})")
     double restarted;
 
-    @Override void check() {
-        require(part > 0 && part <= 1 && restarted >= 0 && restarted <= 1,
-            "--part and --restart-nodes are parts of 1");
+    @Override
+    void check() {
+        require(part > 0 && part <= 1 && restarted >= 0 && restarted <= 1, "--part and --restart-nodes are parts of 1");
     }
 
-    @Override void point(int size) {
+    @Override
+    void point(int size) {
         Fleet fleet = started(size, SETTLED);
         long[] before = new long[fleet.hosts.length];
         List<Gateway.Server> entries = new ArrayList<>();
@@ -73,13 +79,20 @@
         results.add("ramp.fullest_window_of_budget_worst", "nodes", size, worst, "share");
         results.add("ramp.fullest_window_of_budget_mean", "nodes", size, mean / cold, "share");
         results.add("ramp.servers_past_budget_and_chance", "nodes", size, over / (double) cold, "share");
-        results.add("ramp.cold_to_warm_load", "nodes", size,
-            coldGot / cold / (warmGot / Math.max(1, before.length - cold)), "share");
+        results.add(
+                "ramp.cold_to_warm_load",
+                "nodes",
+                size,
+                coldGot / cold / (warmGot / Math.max(1, before.length - cold)),
+                "share");
     }
 
     /** The most of its budget that a window had, and by how much one went beyond budget and chance. */
     private static double[] fullest(HollowServer host, double told) {
-        double[] times = host.sinceCold.stream().mapToDouble(t -> t).filter(t -> t >= told).toArray();
+        double[] times = host.sinceCold.stream()
+                .mapToDouble(t -> t)
+                .filter(t -> t >= told)
+                .toArray();
         double most = 0;
         double beyond = 0;
         for (int from = 0, to = 0; from < times.length; from++) {
--- a/src/main/java/willowyoke/scale/RealNode.java
+++ b/src/main/java/willowyoke/scale/RealNode.java
@@ -44,23 +44,25 @@
     }
 
     /** Starts a node among the peers at these ports; known is the list that it had, as JSON, or null. */
-    static RealNode start(Path root, Map<String, String> settings, String known, int agent, int counter,
-        long seed) throws IOException, InterruptedException {
+    static RealNode start(Path root, Map<String, String> settings, String known, int agent, int counter, long seed)
+            throws IOException, InterruptedException {
         int port;
         try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        NodeLaunch.Addresses at = new NodeLaunch.Addresses("127.0.0.1:" + port, "127.0.0.1:" + agent,
-            "127.0.0.1:" + counter);
+        NodeLaunch.Addresses at =
+                new NodeLaunch.Addresses("127.0.0.1:" + port, "127.0.0.1:" + agent, "127.0.0.1:" + counter);
         List<String> command = NodeLaunch.command(root);
         Path folder = Files.createTempDirectory("willowyoke-scale");
         String name = "n" + settings.get("rank");
         Path config = folder.resolve("config.json");
         Files.writeString(config, NodeLaunch.configuration(name, at, seed, known, settings));
-        ProcessBuilder builder = new ProcessBuilder(command).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
-        builder.environment().putAll(NodeLaunch.environment(name, at, config,
-            Files.createDirectory(folder.resolve("tmp"))));
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .directory(root.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log").toFile());
+        builder.environment()
+                .putAll(NodeLaunch.environment(name, at, config, Files.createDirectory(folder.resolve("tmp"))));
         long from = System.nanoTime();
         Process process = builder.start();
         RealNode node = new RealNode(process, folder, new InetSocketAddress("127.0.0.1", port));
@@ -111,12 +113,12 @@
     /** CPU so far (us), all threads: the scheduler's own count, as clock ticks are too coarse. */
     double cpuMicros() throws IOException {
         double sum = 0;
-        try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + process.pid()
-            + "/task"))) {
+        try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path task : tasks) {
                 try {
-                    sum += Double.parseDouble(Files.readString(task.resolve("schedstat"))
-                        .split(" ")[0]) / 1000;
+                    sum += Double.parseDouble(
+                                    Files.readString(task.resolve("schedstat")).split(" ")[0])
+                            / 1000;
                 } catch (NoSuchFileException e) {
                     // a thread that has just ended
                 }
@@ -143,7 +145,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         process.destroy();
         try {
             if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
--- a/src/main/java/willowyoke/scale/Results.java
+++ b/src/main/java/willowyoke/scale/Results.java
@@ -17,7 +17,7 @@
 /** Measured points by metric, shown as they come and written as CSV or as JSON, one row a line. */
 final class Results {
     /** What is measured: a metric over x, in a unit. */
-    private record Metric(String name, String x, String unit) { }
+    private record Metric(String name, String x, String unit) {}
 
     private final String run;
     private final String commit;
@@ -29,8 +29,8 @@
     }
 
     void add(String metric, String x, double at, double value, String unit) {
-        rows.computeIfAbsent(new Metric(metric, x, unit), m -> new ArrayList<>()).add(new double[] {at,
-            value});
+        rows.computeIfAbsent(new Metric(metric, x, unit), m -> new ArrayList<>())
+                .add(new double[] {at, value});
         System.out.printf(Locale.ROOT, "%-34s %s=%s: %s %s%n", metric, x, number(at), number(value), unit);
     }
 
@@ -40,9 +40,10 @@
             if (points.size() < 2) {
                 return; // shown already
             }
-            String line = fit == null ? "no fit, " + points.size() + " points"
-                : number(fit.slope()) + " x " + m.x + " + " + number(fit.intercept()) + ", residual "
-                    + number(fit.residual());
+            String line = fit == null
+                    ? "no fit, " + points.size() + " points"
+                    : number(fit.slope()) + " x " + m.x + " + " + number(fit.intercept()) + ", residual "
+                            + number(fit.residual());
             System.out.println("fit " + m.name + ": " + line + " (" + m.unit + ")");
         });
     }
@@ -52,10 +53,14 @@
         boolean csv = file.toString().endsWith(".csv");
         boolean head = csv && !(append && Files.exists(file));
         String text = (head ? "run,commit,metric,unit,x,x_value,value,slope,intercept,residual\n" : "")
-            + (csv ? csv() : json());
-        Files.writeString(file, text, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
-            append ? StandardOpenOption.APPEND : StandardOpenOption.TRUNCATE_EXISTING,
-            StandardOpenOption.WRITE);
+                + (csv ? csv() : json());
+        Files.writeString(
+                file,
+                text,
+                StandardCharsets.UTF_8,
+                StandardOpenOption.CREATE,
+                append ? StandardOpenOption.APPEND : StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE);
     }
 
     private String csv() {
@@ -65,12 +70,15 @@
             if (points.size() < 2) {
                 return; // shown already
             }
-            String line = fit == null ? ",," : number(fit.slope()) + ',' + number(fit.intercept()) + ','
-                + number(fit.residual());
+            String line = fit == null
+                    ? ",,"
+                    : number(fit.slope()) + ',' + number(fit.intercept()) + ',' + number(fit.residual());
             for (double[] p : points) {
-                text.append('"').append(run.replace("\"", "\"\"")).append("\",")
-                    .append(String.join(",", commit, m.name, m.unit, m.x, number(p[0]), number(p[1]), line))
-                    .append('\n');
+                text.append('"')
+                        .append(run.replace("\"", "\"\""))
+                        .append("\",")
+                        .append(String.join(",", commit, m.name, m.unit, m.x, number(p[0]), number(p[1]), line))
+                        .append('\n');
             }
         });
         return text.toString();
@@ -119,8 +127,11 @@
 
     /** Five digits are more than a run can tell. */
     static String number(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e12 ? Long.toString((long) value)
-            : new java.math.BigDecimal(value).round(new java.math.MathContext(5)).stripTrailingZeros()
-                .toPlainString();
+        return value == Math.rint(value) && Math.abs(value) < 1e12
+                ? Long.toString((long) value)
+                : new java.math.BigDecimal(value)
+                        .round(new java.math.MathContext(5))
+                        .stripTrailingZeros()
+                        .toPlainString();
     }
 }
--- a/src/main/java/willowyoke/scale/Servers.java
+++ b/src/main/java/willowyoke/scale/Servers.java
@@ -52,8 +52,7 @@
 
     /** The entry of a list; startedAt is 0 where the server started long ago. */
     public Gateway.Server entry(int server, Gateway.State state, double startedAt) {
-        return new Gateway.Server(names[server], cell(server), zones[zone(server)], state, "", startedAt, 1,
-            0);
+        return new Gateway.Server(names[server], cell(server), zones[zone(server)], state, "", startedAt, 1, 0);
     }
 
     /** Every server, up since long ago. */
--- a/src/main/java/willowyoke/scale/Site.java
+++ b/src/main/java/willowyoke/scale/Site.java
@@ -9,12 +9,14 @@
 public final class Site {
     /** So many nodes share a customer. */
     public static final int SPREAD = 4;
+
     public static final String READ = "read";
     public static final String KEYED = "write";
     public static final String UNSAFE = "order";
     public static final String PLAN = "plan";
     /** What clients wait (ms), and a cold server's share of its capacity and time (ms) until it is warm. */
     public static final double DEADLINE = 2000;
+
     public static final double COLD_SHARE = 0.25;
     public static final double WARM_AFTER = 10_000;
     public static final double OVERLOAD_FACTOR = 3;
@@ -22,7 +24,7 @@
     public static final double DRAIN_GRACE = 250;
     public static final double COUNTER_TIMEOUT = 80;
 
-    private Site() { }
+    private Site() {}
 
     /** The class for a number from 0 to 1: half reads, four in ten keyed, the rest not to be repeated. */
     static String type(double chance) {
@@ -82,9 +84,19 @@
         if (first == null) {
             return SettingsReader.read(keys(rank, nodes, zones));
         }
-        return new Gateway.Settings(rank, nodes, Servers.zoneName(rank % zones), first.tick(),
-            first.mustAsk(), first.settled(), first.mostUnits(), first.loadFields(), first.classes(),
-            first.plans(),
-            first.allowed(), first.rules(), first.prices());
+        return new Gateway.Settings(
+                rank,
+                nodes,
+                Servers.zoneName(rank % zones),
+                first.tick(),
+                first.mustAsk(),
+                first.settled(),
+                first.mostUnits(),
+                first.loadFields(),
+                first.classes(),
+                first.plans(),
+                first.allowed(),
+                first.rules(),
+                first.prices());
     }
 }
--- a/src/main/java/willowyoke/scale/VirtualClock.java
+++ b/src/main/java/willowyoke/scale/VirtualClock.java
@@ -5,10 +5,10 @@
 
 /** One clock (ms) that moves from event to event; events of one moment keep their order. */
 final class VirtualClock {
-    private record Event(double at, long serial, Runnable what) { }
+    private record Event(double at, long serial, Runnable what) {}
 
     private final PriorityQueue<Event> events =
-        new PriorityQueue<>(Comparator.<Event>comparingDouble(e -> e.at).thenComparingLong(e -> e.serial));
+            new PriorityQueue<>(Comparator.<Event>comparingDouble(e -> e.at).thenComparingLong(e -> e.serial));
     private long serial;
     private double now;
 
--- a/src/main/java/willowyoke/scale/ZoneLossExperiment.java
+++ b/src/main/java/willowyoke/scale/ZoneLossExperiment.java
@@ -7,30 +7,36 @@
 import willowyoke.Gateway;
 
 /** All servers of a zone vanish, and later come back cold: how long the fleet takes each time. */
-@Command(name = "zone-loss", mixinStandardHelpOptions = true,
-    description = "Time until as much is served as before, after a zone's loss and after its return")
+@Command(
+        name = "zone-loss",
+        mixinStandardHelpOptions = true,
+        description = "Time until as much is served as before, after a zone's loss and after its return")
 final class ZoneLossExperiment extends FleetRun {
     private static final double SETTLED = 8000;
     private static final double WINDOW = 500;
     /** So much of what was served before, in so many windows in a row, is back. */
     private static final double BACK = 0.99;
+
     private static final int IN_A_ROW = 3;
 
-    @Option(names = "--seconds", defaultValue = "20",
-        description = "virtual seconds that are watched after the "
-        + "loss, and after the return (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "20",
+            description = "virtual seconds that are watched after the "
+                    + "loss, and after the return (default ${DEFAULT-VALUE})")
     int seconds;
 
-    @Option(names = "--quiet",
-        description = "discovery is silent meanwhile: nodes have to see for themselves")
+    @Option(names = "--quiet", description = "discovery is silent meanwhile: nodes have to see for themselves")
     boolean quiet;
 
-    @Override void check() {
+    @Override
+    void check() {
         require(seconds > 0, "--seconds has to be above 0");
         require(shape.zones > 1, "--zones has to be above 1");
     }
 
-    @Override void point(int size) {
+    @Override
+    void point(int size) {
         Fleet fleet = started(size, SETTLED);
         fleet.silence(quiet);
         double usual = share(fleet, 4 * WINDOW);
@@ -56,8 +62,12 @@
         fleet.change(back);
         long got = zoneGot(fleet);
         watch(fleet, size, "return", usual);
-        results.add("zone.load_after_return", "nodes", size,
-            (zoneGot(fleet) - got) / (seconds * 1000 / WINDOW) / Math.max(1, zoneUsual), "share");
+        results.add(
+                "zone.load_after_return",
+                "nodes",
+                size,
+                (zoneGot(fleet) - got) / (seconds * 1000 / WINDOW) / Math.max(1, zoneUsual),
+                "share");
     }
 
     /** Windows of what is served, of all that ends in them: arrivals of a window are too uneven. */
@@ -90,8 +100,11 @@
     private static int leastKept(Fleet fleet) {
         int least = Integer.MAX_VALUE;
         for (HollowNode node : fleet.nodes) {
-            least = (int) Math.min(least,
-                node.kept().stream().filter(i -> fleet.hosts[i].life == HollowServer.Life.UP).count());
+            least = (int) Math.min(
+                    least,
+                    node.kept().stream()
+                            .filter(i -> fleet.hosts[i].life == HollowServer.Life.UP)
+                            .count());
         }
         return least;
     }
--- a/src/main/java/willowyoke/scale/capacity/CapacityTables.java
+++ b/src/main/java/willowyoke/scale/capacity/CapacityTables.java
@@ -28,7 +28,7 @@
     private boolean help;
     private final List<String> names = new ArrayList<>();
 
-    private CapacityTables() { }
+    private CapacityTables() {}
 
     /** The command on its own. */
     public static void main(String[] args) {
--- a/src/main/java/willowyoke/scale/capacity/Doc.java
+++ b/src/main/java/willowyoke/scale/capacity/Doc.java
@@ -16,7 +16,8 @@
 /** A value in a JSON file that knows its place there: what is missing or of another kind is told with it. */
 final class Doc {
     private static final JsonFactory FACTORY = JsonFactory.builder()
-        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+            .build();
     private final Object value;
     private final String at;
 
@@ -45,7 +46,7 @@
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             throw new BadInput(file + ": line " + line + ": not JSON as it should be: "
-                + e.getOriginalMessage().lines().findFirst().orElse(""));
+                    + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new BadInput(file + ": cannot be read");
         }
--- a/src/main/java/willowyoke/scale/capacity/Figure.java
+++ b/src/main/java/willowyoke/scale/capacity/Figure.java
@@ -46,17 +46,23 @@
             case "B" -> scaled(value, " B", " KB", " MB", " GB", " TB", " PB");
             case "B/s" -> scaled(value, " B/s", " KB/s", " MB/s", " GB/s", " TB/s", " PB/s");
             case "s" -> seconds();
-            case "core" -> value == 1 ? "1 core" : Math.abs(value) < 1 ? number(100 * value) + "% of a core"
-                : number(value) + " cores";
+            case "core" ->
+                value == 1
+                        ? "1 core"
+                        : Math.abs(value) < 1 ? number(100 * value) + "% of a core" : number(value) + " cores";
             default -> number(value) + (unit.startsWith("/") ? unit : unit.isEmpty() ? "" : " " + unit);
         };
     }
 
     private String seconds() {
         double size = Math.abs(value);
-        return size < 1 ? scaled(value * K * K, " us", " ms") : size < 120 ? number(value) + " s"
-            : size < 7200 ? number(value / 60) + " min" : size < 172_800 ? number(value / 3600) + " h"
-            : number(value / 86_400) + " days";
+        return size < 1
+                ? scaled(value * K * K, " us", " ms")
+                : size < 120
+                        ? number(value) + " s"
+                        : size < 7200
+                                ? number(value / 60) + " min"
+                                : size < 172_800 ? number(value / 3600) + " h" : number(value / 86_400) + " days";
     }
 
     private static String scaled(double value, String... units) {
@@ -70,18 +76,21 @@
     }
 
     private static double rounded(double value) {
-        return new BigDecimal(value).round(new MathContext(DIGITS, RoundingMode.HALF_EVEN)).doubleValue();
+        return new BigDecimal(value)
+                .round(new MathContext(DIGITS, RoundingMode.HALF_EVEN))
+                .doubleValue();
     }
 
     /** Whole numbers as they are, others by three digits. */
     static String number(double value) {
         return new DecimalFormat("#,##0.##########", DecimalFormatSymbols.getInstance(Locale.ROOT))
-            .format(value == Math.rint(value) ? value : rounded(value));
+                .format(value == Math.rint(value) ? value : rounded(value));
     }
 
     /** A share of something; what is very little needs no digits. */
     static String percent(double share) {
-        return share > 0 && share < LEAST_SHARE ? "<" + number(100 * LEAST_SHARE) + "%"
-            : number(rounded(100 * share)) + "%";
+        return share > 0 && share < LEAST_SHARE
+                ? "<" + number(100 * LEAST_SHARE) + "%"
+                : number(rounded(100 * share)) + "%";
     }
 }
--- a/src/main/java/willowyoke/scale/capacity/Measurements.java
+++ b/src/main/java/willowyoke/scale/capacity/Measurements.java
@@ -20,8 +20,15 @@
     }
 
     /** One series: y of a metric over x, in a unit; no fit (null) where the run had too few points. */
-    record Series(String run, String commit, String metric, String x, List<double[]> points, Line fit,
-        double residual, String unit) {
+    record Series(
+            String run,
+            String commit,
+            String metric,
+            String x,
+            List<double[]> points,
+            Line fit,
+            double residual,
+            String unit) {
 
         double largest() {
             return points.get(points.size() - 1)[0];
@@ -33,8 +40,11 @@
 
         /** The mean of the points at just this x; NaN where there is none. */
         double pointAt(double at) {
-            return points.stream().filter(p -> p[0] == at).mapToDouble(p -> p[1]).average()
-                .orElse(Double.NaN);
+            return points.stream()
+                    .filter(p -> p[0] == at)
+                    .mapToDouble(p -> p[1])
+                    .average()
+                    .orElse(Double.NaN);
         }
     }
 
@@ -48,7 +58,7 @@
     private final List<Series> all = new ArrayList<>();
     private final Set<String> asked = new HashSet<>();
 
-    private Measurements() { }
+    private Measurements() {}
 
     /** The rows of a file: one list of them, or one a line. */
     static Measurements read(Path file) {
@@ -74,10 +84,18 @@
         }
         points.sort(Comparator.comparingDouble(p -> p[0]));
         Doc fit = row.get("fit");
-        return new Series(row.get("run").text(), row.get("commit").text(), row.get("metric").text(),
-            row.get("x").text(), points,
-            row.has("fit") ? new Line(fit.get("slope").number(), fit.get("intercept").number()) : null,
-            row.has("fit") ? fit.get("residual").number() : 0, row.get("unit").text());
+        return new Series(
+                row.get("run").text(),
+                row.get("commit").text(),
+                row.get("metric").text(),
+                row.get("x").text(),
+                points,
+                row.has("fit")
+                        ? new Line(
+                                fit.get("slope").number(), fit.get("intercept").number())
+                        : null,
+                row.has("fit") ? fit.get("residual").number() : 0,
+                row.get("unit").text());
     }
 
     List<Series> all() {
--- a/src/main/java/willowyoke/scale/capacity/Model.java
+++ b/src/main/java/willowyoke/scale/capacity/Model.java
@@ -20,19 +20,25 @@
     private static final Set<String> STATES = Set.of("present", "made here", "missing");
     private static final String FORM = "form.";
     private static final String LARGEST = "largest";
-    private static final Map<String, Double> UNITS = Map.of("ns", 1e-9, "us", 1e-6, "ms", 1e-3, "KB", 1e3,
-        "MB", 1e6, "GB", 1e9);
+    private static final Map<String, Double> UNITS =
+            Map.of("ns", 1e-9, "us", 1e-6, "ms", 1e-3, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
     /** A named number: what it is, and in which words it was given. */
-    record Quantity(String name, String kind, String formula, Figure figure, String unit,
-        String text) { }
+    record Quantity(String name, String kind, String formula, Figure figure, String unit, String text) {}
 
     /** What carries a row: present, made here or missing, in the order of what it blocks. */
-    record Mechanism(String name, String state, String text) { }
+    record Mechanism(String name, String state, String text) {}
 
     /** One figure of the page; budget is null where there is none. */
-    record Row(String role, String when, String what, String formula, Figure figure, String unit,
-        Figure budget, Mechanism mechanism) {
+    record Row(
+            String role,
+            String when,
+            String what,
+            String formula,
+            Figure figure,
+            String unit,
+            Figure budget,
+            Mechanism mechanism) {
 
         /** How often the budget goes into the figure; NaN where one of them is not there. */
         double ratio() {
@@ -48,7 +54,7 @@
      * A figure of a run that has to be foretold: by a line through its smaller sizes, or where a formula is
      * given (else null) by that, at one size.
      */
-    record CrossCheck(String metric, String x, String text, String formula, Figure foretold, double at) { }
+    record CrossCheck(String metric, String x, String text, String formula, Figure foretold, double at) {}
 
     private final Map<String, Quantity> quantities = new LinkedHashMap<>();
     private final Map<String, Mechanism> mechanisms = new LinkedHashMap<>();
@@ -67,7 +73,10 @@
         Doc root = Doc.read(file);
         root.get("quantities").list().forEach(model::quantity);
         root.get("mechanisms").list().forEach(model::mechanism);
-        root.get("roles").list().forEach(r -> model.roles.put(r.get("name").text(), r.get("text").text()));
+        root.get("roles")
+                .list()
+                .forEach(
+                        r -> model.roles.put(r.get("name").text(), r.get("text").text()));
         root.get("rows").list().forEach(model::row);
         root.get("cross_checks").list().forEach(model::check);
         for (Mechanism m : model.mechanisms.values()) {
@@ -119,8 +128,15 @@
             boolean given = kind.equals("size") || kind.equals("budget");
             figure = given ? Figure.of(is.number()) : Figure.of(is.number(), kind + " " + name);
         }
-        Quantity before = quantities.put(name, new Quantity(name, kind, formula, figure,
-            d.get("unit").text(""), d.get("text").text()));
+        Quantity before = quantities.put(
+                name,
+                new Quantity(
+                        name,
+                        kind,
+                        formula,
+                        figure,
+                        d.get("unit").text(""),
+                        d.get("text").text()));
         if (before != null) {
             throw new BadInput(d.at() + ": " + name + " is there already");
         }
@@ -128,7 +144,9 @@
 
     private void mechanism(Doc d) {
         String name = d.get("name").text();
-        mechanisms.put(name, new Mechanism(name, oneOf(d.get("state"), STATES), d.get("text").text()));
+        mechanisms.put(
+                name,
+                new Mechanism(name, oneOf(d.get("state"), STATES), d.get("text").text()));
     }
 
     private void row(Doc d) {
@@ -136,23 +154,33 @@
         Mechanism carrier = mechanisms.get(oneOf(d.get("mechanism"), mechanisms.keySet()));
         Doc is = d.get("is");
         Doc budget = d.get("budget");
-        rows.add(new Row(role, d.get("when").text(), d.get("what").text(), is.text(),
-            reckon(is.text(), is.at()), d.get("unit").text(""),
-            d.has("budget") ? reckon(budget.text(), budget.at()) : null, carrier));
+        rows.add(new Row(
+                role,
+                d.get("when").text(),
+                d.get("what").text(),
+                is.text(),
+                reckon(is.text(), is.at()),
+                d.get("unit").text(""),
+                d.has("budget") ? reckon(budget.text(), budget.at()) : null,
+                carrier));
     }
 
     private void check(Doc d) {
         Doc is = d.get("is");
         boolean given = d.has("is");
-        checks.add(new CrossCheck(d.get("metric").text(), d.get("x").text(), d.get("text").text(),
-            given ? is.text() : null, given ? reckon(is.text(), is.at()) : null,
-            given ? d.get("at").number() : 0));
+        checks.add(new CrossCheck(
+                d.get("metric").text(),
+                d.get("x").text(),
+                d.get("text").text(),
+                given ? is.text() : null,
+                given ? reckon(is.text(), is.at()) : null,
+                given ? d.get("at").number() : 0));
     }
 
     private static String oneOf(Doc d, Set<String> allowed) {
         if (!allowed.contains(d.text())) {
             throw new BadInput(d.at() + ": '" + d.text() + "' is none of "
-                + allowed.stream().sorted().toList());
+                    + allowed.stream().sorted().toList());
         }
         return d.text();
     }
@@ -210,8 +238,11 @@
         boolean atPoint = inside.contains("@");
         String[] x = inside.split("[=@]", 2);
         Series found = measurements.find(metric, x[0]);
-        Figure size = x.length == 1 ? Figure.of(0) : !atPoint || !x[1].equals(LARGEST) ? term(x[1], at)
-            : Figure.of(found == null ? Double.NaN : found.largest());
+        Figure size = x.length == 1
+                ? Figure.of(0)
+                : !atPoint || !x[1].equals(LARGEST)
+                        ? term(x[1], at)
+                        : Figure.of(found == null ? Double.NaN : found.largest());
         if (found == null) {
             String none = "**no run yet** of " + metric + " over " + x[0];
             return Figure.of(Double.NaN, none).with(Double.NaN, size);
@@ -220,8 +251,10 @@
         String run = measurements.label(found) + ": ";
         if (found.fit() == null || atPoint) { // a point at just this size is as good as a line
             double point = x.length == 1 ? Double.NaN : found.pointAt(size.value()) * unit;
-            String grounds = run + (Double.isNaN(point) ? "**no such point**"
-                : "as measured at " + x[0] + " = " + Figure.number(size.value()));
+            String grounds = run
+                    + (Double.isNaN(point)
+                            ? "**no such point**"
+                            : "as measured at " + x[0] + " = " + Figure.number(size.value()));
             return Figure.of(point, grounds).with(point, size);
         }
         double slope = found.fit().slope();
@@ -243,7 +276,8 @@
 
     /** A size that no run has seen is told as such. */
     private static String range(Series found, double size) {
-        return size > found.largest() ? ", **beyond** its largest, " + Figure.number(found.largest())
-            : size < found.smallest() ? ", **below** its smallest, " + Figure.number(found.smallest()) : "";
+        return size > found.largest()
+                ? ", **beyond** its largest, " + Figure.number(found.largest())
+                : size < found.smallest() ? ", **below** its smallest, " + Figure.number(found.smallest()) : "";
     }
 }
--- a/src/main/java/willowyoke/scale/capacity/Page.java
+++ b/src/main/java/willowyoke/scale/capacity/Page.java
@@ -10,7 +10,7 @@
     private static final String CLOSE = " -->";
     private static final String END = "<!-- end -->";
 
-    private Page() { }
+    private Page() {}
 
     /** The page with its tables as they should be; throws {@link BadInput} where a marker is not in order. */
     static String filled(String page, Map<String, String> tables, String file) {
@@ -21,8 +21,8 @@
             int close = page.indexOf(CLOSE, begin);
             String name = close < 0 ? "" : page.substring(begin + BEGIN.length(), close);
             if (!tables.containsKey(name) || !seen.add(name)) {
-                throw new BadInput(file + ": table '" + name.lines().findFirst().orElse("")
-                    + "' is not known, or there twice");
+                throw new BadInput(
+                        file + ": table '" + name.lines().findFirst().orElse("") + "' is not known, or there twice");
             }
             int end = page.indexOf(END, close);
             int next = page.indexOf(BEGIN, close);
--- a/src/main/java/willowyoke/scale/capacity/Tables.java
+++ b/src/main/java/willowyoke/scale/capacity/Tables.java
@@ -45,11 +45,19 @@
     }
 
     private String role(String role) {
-        StringBuilder table = head("when", "what", "figure", "budget", "", "reckoned as", "rests on",
-            "carried by");
-        model.rows().stream().filter(r -> r.role().equals(role)).forEach(r -> line(table, r.when(), r.what(),
-            r.figure().text(r.unit()), r.budget() == null ? NONE : r.budget().text(r.unit()), verdict(r),
-            "`" + r.formula() + "`", rests(r.figure()), r.mechanism().name() + ": " + r.mechanism().state()));
+        StringBuilder table = head("when", "what", "figure", "budget", "", "reckoned as", "rests on", "carried by");
+        model.rows().stream()
+                .filter(r -> r.role().equals(role))
+                .forEach(r -> line(
+                        table,
+                        r.when(),
+                        r.what(),
+                        r.figure().text(r.unit()),
+                        r.budget() == null ? NONE : r.budget().text(r.unit()),
+                        verdict(r),
+                        "`" + r.formula() + "`",
+                        rests(r.figure()),
+                        r.mechanism().name() + ": " + r.mechanism().state()));
         return table.toString();
     }
 
@@ -61,31 +69,43 @@
         if (Double.isNaN(ratio)) {
             return Figure.NOT_MEASURED;
         }
-        return r.over() ? "**OVER, " + Figure.number(ratio) + " x**"
-            : "within, " + Figure.percent(ratio);
+        return r.over() ? "**OVER, " + Figure.number(ratio) + " x**" : "within, " + Figure.percent(ratio);
     }
 
     private static String rests(Figure figure) {
-        return figure.restsOn().isEmpty() ? "sizes alone" : figure.restsOn().stream()
-            .map(g -> g.startsWith(ASSUMED) ? "*assumption* " + g.substring(ASSUMED.length()) : g)
-            .collect(Collectors.joining("; "));
+        return figure.restsOn().isEmpty()
+                ? "sizes alone"
+                : figure.restsOn().stream()
+                        .map(g -> g.startsWith(ASSUMED) ? "*assumption* " + g.substring(ASSUMED.length()) : g)
+                        .collect(Collectors.joining("; "));
     }
 
     /** The assumptions behind a figure and its budget. */
     private static String assumed(Row r) {
-        return Stream.of(r.figure(), r.budget()).flatMap(f -> f.restsOn().stream())
-            .filter(g -> g.startsWith(ASSUMED)).map(g -> "*" + g.substring(ASSUMED.length()) + "*").distinct()
-            .collect(Collectors.joining(", "));
+        return Stream.of(r.figure(), r.budget())
+                .flatMap(f -> f.restsOn().stream())
+                .filter(g -> g.startsWith(ASSUMED))
+                .map(g -> "*" + g.substring(ASSUMED.length()) + "*")
+                .distinct()
+                .collect(Collectors.joining(", "));
     }
 
     /** The worst first; like ones in the order of the rows. */
     private String over() {
-        StringBuilder table = head("over", "role", "when", "what", "figure", "budget", "assuming",
-            "carried by");
-        model.rows().stream().filter(Row::over).sorted(Comparator.comparingDouble(Row::ratio).reversed())
-            .forEach(r -> line(table, Figure.number(r.ratio()) + " x", r.role(), r.when(), r.what(),
-                r.figure().text(r.unit()), r.budget().text(r.unit()), assumed(r),
-                r.mechanism().name() + ": " + r.mechanism().state()));
+        StringBuilder table = head("over", "role", "when", "what", "figure", "budget", "assuming", "carried by");
+        model.rows().stream()
+                .filter(Row::over)
+                .sorted(Comparator.comparingDouble(Row::ratio).reversed())
+                .forEach(r -> line(
+                        table,
+                        Figure.number(r.ratio()) + " x",
+                        r.role(),
+                        r.when(),
+                        r.what(),
+                        r.figure().text(r.unit()),
+                        r.budget().text(r.unit()),
+                        assumed(r),
+                        r.mechanism().name() + ": " + r.mechanism().state()));
         return table.toString();
     }
 
@@ -93,31 +113,55 @@
         int[] place = {0};
         StringBuilder table = head("", "mechanism", "state", "what it is", "rows", "over", "not measured");
         model.mechanisms().values().stream().filter(which).forEach(m -> {
-            List<Row> rows = model.rows().stream().filter(r -> r.mechanism() == m).toList();
-            line(table, Integer.toString(++place[0]), m.name(), m.state(), m.text(),
-                Integer.toString(rows.size()), Long.toString(rows.stream().filter(Row::over).count()),
-                Long.toString(rows.stream().filter(r -> !r.figure().measured()).count()));
+            List<Row> rows =
+                    model.rows().stream().filter(r -> r.mechanism() == m).toList();
+            line(
+                    table,
+                    Integer.toString(++place[0]),
+                    m.name(),
+                    m.state(),
+                    m.text(),
+                    Integer.toString(rows.size()),
+                    Long.toString(rows.stream().filter(Row::over).count()),
+                    Long.toString(
+                            rows.stream().filter(r -> !r.figure().measured()).count()));
         });
         return table.toString();
     }
 
     private String crossChecks() {
-        StringBuilder table = head("figure", "size left out", "foretold", "measured there", "deviation",
-            "foretold by", "run");
+        StringBuilder table =
+                head("figure", "size left out", "foretold", "measured there", "deviation", "foretold by", "run");
         for (CrossCheck c : model.checks()) {
             Series series = model.measurements().find(c.metric(), c.x());
-            Check check = series == null ? null : c.formula() == null ? Measurements.leaveLargestOut(series)
-                : new Check(series, c.at(), c.foretold().value() / Model.scale(series),
-                    series.pointAt(c.at()));
+            Check check = series == null
+                    ? null
+                    : c.formula() == null
+                            ? Measurements.leaveLargestOut(series)
+                            : new Check(
+                                    series, c.at(), c.foretold().value() / Model.scale(series), series.pointAt(c.at()));
             String by = c.formula() == null ? "the smaller sizes" : "`" + c.formula() + "`";
             if (check == null || Double.isNaN(check.deviation())) {
                 String none = Figure.NOT_MEASURED;
-                line(table, c.text(), NONE, none, none, none, by,
-                    series == null ? "**no run yet**" : "no such point in " + label(series));
+                line(
+                        table,
+                        c.text(),
+                        NONE,
+                        none,
+                        none,
+                        none,
+                        by,
+                        series == null ? "**no run yet**" : "no such point in " + label(series));
             } else {
-                line(table, c.text(), c.x() + " = " + Figure.number(check.x()),
-                    amount(check.predicted(), series), amount(check.measured(), series),
-                    Figure.percent(check.deviation()), by, label(series));
+                line(
+                        table,
+                        c.text(),
+                        c.x() + " = " + Figure.number(check.x()),
+                        amount(check.predicted(), series),
+                        amount(check.measured(), series),
+                        Figure.percent(check.deviation()),
+                        by,
+                        label(series));
             }
         }
         return table.toString();
@@ -127,18 +171,26 @@
     private String compared() {
         StringBuilder table = head("metric", "at", "by run, the earliest first", "last over first");
         boolean none = true;
-        Map<String, List<Series>> same = model.measurements().used().stream().collect(Collectors.groupingBy(
-            s -> s.metric() + " " + s.x() + " " + s.unit(), LinkedHashMap::new, Collectors.toList()));
+        Map<String, List<Series>> same = model.measurements().used().stream()
+                .collect(Collectors.groupingBy(
+                        s -> s.metric() + " " + s.x() + " " + s.unit(), LinkedHashMap::new, Collectors.toList()));
         for (List<Series> runs : same.values()) {
             Series first = runs.get(0);
             Series last = runs.get(runs.size() - 1);
-            OptionalDouble at = first.points().stream().mapToDouble(p -> p[0])
-                .filter(x -> runs.stream().noneMatch(s -> Double.isNaN(s.pointAt(x)))).max();
+            OptionalDouble at = first.points().stream()
+                    .mapToDouble(p -> p[0])
+                    .filter(x -> runs.stream().noneMatch(s -> Double.isNaN(s.pointAt(x))))
+                    .max();
             if (runs.size() > 1 && at.isPresent()) {
                 double x = at.getAsDouble();
-                line(table, first.metric(), first.x() + " = " + Figure.number(x), runs.stream()
-                    .map(s -> label(s) + ": " + amount(s.pointAt(x), s)).collect(Collectors.joining("; ")),
-                    Figure.number(last.pointAt(x) / first.pointAt(x)));
+                line(
+                        table,
+                        first.metric(),
+                        first.x() + " = " + Figure.number(x),
+                        runs.stream()
+                                .map(s -> label(s) + ": " + amount(s.pointAt(x), s))
+                                .collect(Collectors.joining("; ")),
+                        Figure.number(last.pointAt(x) / first.pointAt(x)));
                 none = false;
             }
         }
@@ -163,27 +215,38 @@
     }
 
     private String measurements() {
-        StringBuilder table = head("metric", "over", "points", "from", "to", "slope", "intercept", "residual",
-            "unit", "run");
+        StringBuilder table =
+                head("metric", "over", "points", "from", "to", "slope", "intercept", "residual", "unit", "run");
         for (Series s : model.measurements().used()) {
-            String[] fit = s.fit() == null ? new String[] {NONE, NONE, NONE} : new String[] {
-                Figure.number(s.fit().slope()), Figure.number(s.fit().intercept()),
-                Figure.number(s.residual())};
-            line(table, s.metric(), s.x(), Integer.toString(s.points().size()), Figure.number(s.smallest()),
-                Figure.number(s.largest()), fit[0], fit[1], fit[2], s.unit(),
-                label(s));
+            String[] fit = s.fit() == null
+                    ? new String[] {NONE, NONE, NONE}
+                    : new String[] {
+                        Figure.number(s.fit().slope()), Figure.number(s.fit().intercept()), Figure.number(s.residual())
+                    };
+            line(
+                    table,
+                    s.metric(),
+                    s.x(),
+                    Integer.toString(s.points().size()),
+                    Figure.number(s.smallest()),
+                    Figure.number(s.largest()),
+                    fit[0],
+                    fit[1],
+                    fit[2],
+                    s.unit(),
+                    label(s));
         }
         return table.toString();
     }
 
     private String quantities(String kind) {
         boolean derived = kind.equals("derived");
-        StringBuilder table = derived ? head("name", "value", "reckoned as", "rests on", "what it is")
-            : head("name", "value", "what it is");
+        StringBuilder table = derived
+                ? head("name", "value", "reckoned as", "rests on", "what it is")
+                : head("name", "value", "what it is");
         for (Quantity q : model.quantities().values()) {
             if (q.kind().equals(kind) && derived) {
-                line(table, q.name(), q.figure().text(q.unit()), "`" + q.formula() + "`", rests(q.figure()),
-                    q.text());
+                line(table, q.name(), q.figure().text(q.unit()), "`" + q.formula() + "`", rests(q.figure()), q.text());
             } else if (q.kind().equals(kind)) {
                 line(table, q.name(), q.figure().text(q.unit()), q.text());
             }
@@ -193,8 +256,9 @@
 
     private String forms() {
         StringBuilder table = head("form", "bytes", "sample");
-        model.forms().forEach((name, sample) -> line(table, name, Integer.toString(Messages.bytes(sample)),
-            "`" + shown(sample) + "`"));
+        model.forms()
+                .forEach((name, sample) ->
+                        line(table, name, Integer.toString(Messages.bytes(sample)), "`" + shown(sample) + "`"));
         return table.toString();
     }
 
--- a/src/main/java/willowyoke/scale/soak/ClientFleet.java
+++ b/src/main/java/willowyoke/scale/soak/ClientFleet.java
@@ -28,19 +28,28 @@
 final class ClientFleet {
     /** A request is waited for so long (ms) past its time before it counts as unanswered. */
     private static final double UNANSWERED = 800;
+
     private static final int PIECES_MOST = 4;
     private static final int PIECE_PAUSE = 150;
     private static final int PIPELINED_MOST = 5;
     private static final int ASK_LATE_MOST = 900;
     /** Connections that come to a node while it is told to end, in so long (ms), and ask only later. */
     private static final int LATE_CONNECTIONS = 8;
+
     private static final int LATE_CONNECTIONS_IN = 330;
     /** Customers of each set of nodes. */
     private static final int CUSTOMERS = 8;
+
     private static final double NANOS = 1e6;
 
     /** What a client does with its next request. */
-    private enum Habit { PLAIN, SLOW, PIPELINE, LEAVE, ASK_LATE }
+    private enum Habit {
+        PLAIN,
+        SLOW,
+        PIPELINE,
+        LEAVE,
+        ASK_LATE
+    }
 
     private final EventLoopGroup group;
     private final RunClock clock;
@@ -54,8 +63,8 @@
     private boolean stopped;
 
     /** Rate is of requests a second at each node. */
-    ClientFleet(EventLoopGroup group, RunClock clock, SoakSettings settings, List<NodeSlot> nodes,
-        double rate, long seed) {
+    ClientFleet(
+            EventLoopGroup group, RunClock clock, SoakSettings settings, List<NodeSlot> nodes, double rate, long seed) {
         this.group = group;
         this.clock = clock;
         this.settings = settings;
@@ -76,7 +85,8 @@
 
     /** Whether any request is still waited for. */
     boolean isWaiting() throws Exception {
-        return group.submit(() -> requests.stream().anyMatch(r -> r.end == ClientRequest.End.OPEN)).get();
+        return group.submit(() -> requests.stream().anyMatch(r -> r.end == ClientRequest.End.OPEN))
+                .get();
     }
 
     /** All requests so far. */
@@ -107,8 +117,11 @@
 
     private Habit habit() {
         double chance = random.nextDouble();
-        return chance < 0.7 ? Habit.PLAIN : chance < 0.78 ? Habit.SLOW : chance < 0.86 ? Habit.PIPELINE
-            : chance < 0.94 ? Habit.LEAVE : Habit.ASK_LATE;
+        return chance < 0.7
+                ? Habit.PLAIN
+                : chance < 0.78
+                        ? Habit.SLOW
+                        : chance < 0.86 ? Habit.PIPELINE : chance < 0.94 ? Habit.LEAVE : Habit.ASK_LATE;
     }
 
     private void ask(NodeSlot node) {
@@ -124,13 +137,13 @@
     private void connect(NodeSlot node, Habit habit) {
         Line line = new Line(node);
         Loops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), line)
-            .addListener(f -> {
-                if (f.isSuccess() && habit == Habit.ASK_LATE) {
-                    after(random.nextInt(ASK_LATE_MOST), () -> line.use(Habit.PLAIN));
-                } else if (f.isSuccess()) {
-                    line.use(habit);
-                } // refused: its node is down, and the client asks elsewhere
-            });
+                .addListener(f -> {
+                    if (f.isSuccess() && habit == Habit.ASK_LATE) {
+                        after(random.nextInt(ASK_LATE_MOST), () -> line.use(Habit.PLAIN));
+                    } else if (f.isSuccess()) {
+                        line.use(habit);
+                    } // refused: its node is down, and the client asks elsewhere
+                });
     }
 
     private double patience(Gateway.RequestClass type) {
@@ -138,14 +151,17 @@
         if (chance < 0.7) {
             return type.deadline();
         }
-        return Math.ceil(chance < 0.9 ? type.deadline() * (0.1 + 0.9 * random.nextDouble())
-            : 20 + random.nextInt(80));
+        return Math.ceil(chance < 0.9 ? type.deadline() * (0.1 + 0.9 * random.nextDouble()) : 20 + random.nextInt(80));
     }
 
     private ClientRequest request(NodeSlot node) {
         int type = random.nextInt(settings.classes().size());
-        ClientRequest request = new ClientRequest(String.format("%016x", ++ids), node.number, node.process(),
-            settings.classes().get(type), patience(settings.classes().get(type)));
+        ClientRequest request = new ClientRequest(
+                String.format("%016x", ++ids),
+                node.number,
+                node.process(),
+                settings.classes().get(type),
+                patience(settings.classes().get(type)));
         requests.add(request);
         return request;
     }
@@ -155,14 +171,15 @@
         int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
         boolean safe = request.type.effect() == Gateway.Effect.SAFE;
         String list = "c=" + request.type.name() + ",t="
-            + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : Site.PLAN) + ",d="
-            + (long) request.patience
-            + (request.type.effect() == Gateway.Effect.KEYED ? ",k=" + request.id : "") + ",units=1,spread="
-            + spread + ",first=" + first;
+                + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : Site.PLAN) + ",d="
+                + (long) request.patience
+                + (request.type.effect() == Gateway.Effect.KEYED ? ",k=" + request.id : "") + ",units=1,spread="
+                + spread + ",first=" + first;
         int set = first * Site.SPREAD + spread - 1; // a customer has the same set of nodes at any time
         String customer = String.format("%016x", set * CUSTOMERS + random.nextInt(CUSTOMERS));
-        return safe ? Loops.command("CALL.GET", customer, request.id, list)
-            : Loops.command("CALL.POST", customer, request.id, list, "body");
+        return safe
+                ? Loops.command("CALL.GET", customer, request.id, list)
+                : Loops.command("CALL.POST", customer, request.id, list, "body");
     }
 
     /** One connection; its requests are answered in their order. */
@@ -177,7 +194,8 @@
             this.node = node;
         }
 
-        @Override public void handlerAdded(ChannelHandlerContext ctx) {
+        @Override
+        public void handlerAdded(ChannelHandlerContext ctx) {
             channel = ctx.channel();
         }
 
@@ -264,19 +282,22 @@
             request.ended = clock.now();
         }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
             ClientRequest request = open.poll();
             if (request == null) {
                 return; // told of its end while it rests
             }
             if (answer instanceof FullBulkStringRedisMessage value && !value.isNull()) {
                 request.told = value.content().toString(StandardCharsets.US_ASCII);
-                end(request, request.told.equals("made for " + request.id) ? ClientRequest.End.SERVED
-                    : ClientRequest.End.WRONG_VALUE);
+                end(
+                        request,
+                        request.told.equals("made for " + request.id)
+                                ? ClientRequest.End.SERVED
+                                : ClientRequest.End.WRONG_VALUE);
             } else if (answer instanceof ErrorRedisMessage error) {
                 request.told = error.content();
-                end(request, request.told.startsWith("BUSY") ? ClientRequest.End.REFUSED
-                    : ClientRequest.End.FAILED);
+                end(request, request.told.startsWith("BUSY") ? ClientRequest.End.REFUSED : ClientRequest.End.FAILED);
             } else {
                 request.told = answer.toString();
                 end(request, ClientRequest.End.FAILED);
@@ -288,7 +309,8 @@
             }
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             idle.get(node.number).remove(this);
             for (ClientRequest request : open) {
                 if (left) {
@@ -303,7 +325,8 @@
             open.clear();
         }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             reset = true;
             ctx.close();
         }
--- a/src/main/java/willowyoke/scale/soak/ClientRequest.java
+++ b/src/main/java/willowyoke/scale/soak/ClientRequest.java
@@ -8,7 +8,9 @@
     enum End {
         /** Still waited for. */
         OPEN,
-        SERVED, REFUSED, FAILED,
+        SERVED,
+        REFUSED,
+        FAILED,
         /** A value that no place server made for this request. */
         WRONG_VALUE,
         /** The node ended the connection, or reset it, before a whole answer. */
@@ -25,13 +27,16 @@
     final int node;
     /** Which of the node's processes had been started last when it was sent. */
     final int process;
+
     final Gateway.RequestClass type;
     final double patience;
     /** When its last byte was written. */
     double sent = Double.POSITIVE_INFINITY;
+
     double ended = Double.POSITIVE_INFINITY;
     /** When the answers before it on its connection were there; its time counts from its own sending. */
     double turn;
+
     End end = End.OPEN;
     /** What it was told, where it was not served. */
     String told = "";
@@ -53,8 +58,10 @@
         return sent + patience;
     }
 
-    @Override public String toString() {
-        return String.format("id %s %s (%s) to n%d sent %.0f waits %.0f, %s at %.0f %s", id, type.name(),
-            type.effect(), node, sent, patience, end, ended, told);
+    @Override
+    public String toString() {
+        return String.format(
+                "id %s %s (%s) to n%d sent %.0f waits %.0f, %s at %.0f %s",
+                id, type.name(), type.effect(), node, sent, patience, end, ended, told);
     }
 }
--- a/src/main/java/willowyoke/scale/soak/FaultInjector.java
+++ b/src/main/java/willowyoke/scale/soak/FaultInjector.java
@@ -18,8 +18,14 @@
     private static final double MOVE = 4000;
 
     /** What faults are done to. */
-    record Scene(RunClock clock, List<NodeSlot> nodes, FaultyServers servers, AgentStandIn agent,
-        List<FaultProxy> discovery, List<FaultProxy> counter, NodeSlot.FaultListener listener) { }
+    record Scene(
+            RunClock clock,
+            List<NodeSlot> nodes,
+            FaultyServers servers,
+            AgentStandIn agent,
+            List<FaultProxy> discovery,
+            List<FaultProxy> counter,
+            NodeSlot.FaultListener listener) {}
 
     private final Scene scene;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
@@ -105,8 +111,7 @@
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 1000));
     }
 
-    private void servers(FaultPlan.Fault fault, FaultyServers.Behaviour behaviour)
-        throws InterruptedException {
+    private void servers(FaultPlan.Fault fault, FaultyServers.Behaviour behaviour) throws InterruptedException {
         fault.targets().forEach(server -> scene.servers.behave(server, behaviour));
         last(fault);
         fault.targets().forEach(server -> scene.servers.behave(server, FaultyServers.Behaviour.WELL));
@@ -120,8 +125,8 @@
         }
         List<Thread> restarts = new ArrayList<>();
         for (int node : fault.targets()) {
-            restarts.add(new Thread(() -> guarded(new FaultPlan.Fault(FaultPlan.Kind.RESTART, fault.at(), 0,
-                List.of(node)))));
+            restarts.add(new Thread(
+                    () -> guarded(new FaultPlan.Fault(FaultPlan.Kind.RESTART, fault.at(), 0, List.of(node)))));
         }
         restarts.forEach(Thread::start);
         last(fault);
@@ -160,7 +165,7 @@
     }
 
     private static void proxy(FaultProxy proxy, FaultPlan.Fault fault, FaultProxy.Mode mode)
-        throws InterruptedException {
+            throws InterruptedException {
         proxy.mode(mode);
         if (mode == FaultProxy.Mode.RESET_NEW) {
             proxy.resetAll();
--- a/src/main/java/willowyoke/scale/soak/FaultPlan.java
+++ b/src/main/java/willowyoke/scale/soak/FaultPlan.java
@@ -9,10 +9,25 @@
 final class FaultPlan {
     /** What can happen; the weight is how often it is drawn. */
     enum Kind {
-        RESTART(6), KILL(1), UPGRADE(1), HANGUP(2), PAUSE(5),
-        SERVERS_HANG(4), SERVERS_FAIL(1), SERVERS_BUSY(1), SERVERS_RESET(2), SERVERS_HALF(1), SERVERS_SLOW(1),
-        SERVERS_DOWN(2), SERVER_CONNECTIONS_RESET(2), SERVERS_DRAIN(3),
-        DISCOVERY_SILENT(1), DISCOVERY_HOLD(1), DISCOVERY_RESET(1), COUNTER_SILENT(2), COUNTER_HOLD(1),
+        RESTART(6),
+        KILL(1),
+        UPGRADE(1),
+        HANGUP(2),
+        PAUSE(5),
+        SERVERS_HANG(4),
+        SERVERS_FAIL(1),
+        SERVERS_BUSY(1),
+        SERVERS_RESET(2),
+        SERVERS_HALF(1),
+        SERVERS_SLOW(1),
+        SERVERS_DOWN(2),
+        SERVER_CONNECTIONS_RESET(2),
+        SERVERS_DRAIN(3),
+        DISCOVERY_SILENT(1),
+        DISCOVERY_HOLD(1),
+        DISCOVERY_RESET(1),
+        COUNTER_SILENT(2),
+        COUNTER_HOLD(1),
         COUNTER_RESET(1),
         /** Many nodes are told to end while many servers hang. */
         ROLL(6);
@@ -25,7 +40,7 @@
     }
 
     /** One fault: when (ms of the run), for how long, and on which numbers of nodes, servers or proxies. */
-    record Fault(Kind kind, double at, double duration, List<Integer> targets) { }
+    record Fault(Kind kind, double at, double duration, List<Integer> targets) {}
 
     private static final double SHORTEST = 300;
     private static final double LONGEST = 6000;
@@ -33,17 +48,18 @@
     private static final double SERVERS_AT_ONCE = 0.3;
     private static final double ROLLED_AT_ONCE = 0.4;
 
-    private FaultPlan() { }
+    private FaultPlan() {}
 
     /** A plan of so many faults between two times, in their order. */
-    static List<Fault> draw(SplittableRandom random, int count, double from, double to, int nodes,
-        int servers, int proxies) {
+    static List<Fault> draw(
+            SplittableRandom random, int count, double from, double to, int nodes, int servers, int proxies) {
         List<Fault> plan = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Kind kind = kind(random);
             double at = from + random.nextDouble() * (to - from);
-            double duration = kind == Kind.PAUSE ? 20 + random.nextInt(PAUSE_MOST - 20)
-                : Math.min(to - at, SHORTEST + random.nextDouble() * (LONGEST - SHORTEST));
+            double duration = kind == Kind.PAUSE
+                    ? 20 + random.nextInt(PAUSE_MOST - 20)
+                    : Math.min(to - at, SHORTEST + random.nextDouble() * (LONGEST - SHORTEST));
             plan.add(new Fault(kind, at, duration, targets(random, kind, nodes, servers, proxies)));
         }
         plan.sort(Comparator.comparingDouble(Fault::at));
@@ -65,13 +81,12 @@
         throw new IllegalStateException("weights");
     }
 
-    private static List<Integer> targets(SplittableRandom random, Kind kind, int nodes, int servers,
-        int proxies) {
+    private static List<Integer> targets(SplittableRandom random, Kind kind, int nodes, int servers, int proxies) {
         return switch (kind) {
             case RESTART, KILL, UPGRADE, HANGUP, PAUSE -> List.of(random.nextInt(nodes));
             case ROLL -> some(random, nodes, ROLLED_AT_ONCE);
-            case DISCOVERY_SILENT, DISCOVERY_HOLD, DISCOVERY_RESET, COUNTER_SILENT, COUNTER_HOLD,
-                COUNTER_RESET -> List.of(random.nextInt(proxies));
+            case DISCOVERY_SILENT, DISCOVERY_HOLD, DISCOVERY_RESET, COUNTER_SILENT, COUNTER_HOLD, COUNTER_RESET ->
+                List.of(random.nextInt(proxies));
             default -> some(random, servers, SERVERS_AT_ONCE);
         };
     }
--- a/src/main/java/willowyoke/scale/soak/FaultProxy.java
+++ b/src/main/java/willowyoke/scale/soak/FaultProxy.java
@@ -156,7 +156,8 @@
         }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         closed = true;
         listener.close();
         mode(Mode.PASS);
--- a/src/main/java/willowyoke/scale/soak/FaultyServers.java
+++ b/src/main/java/willowyoke/scale/soak/FaultyServers.java
@@ -79,7 +79,7 @@
     String dial(int server) {
         int at = FIRST + server;
         return (at >>> 24) + "." + (at >> 16 & 255) + "." + (at >> 8 & 255) + "." + (at & 255) + ":"
-            + Loops.port(listener);
+                + Loops.port(listener);
     }
 
     private static int number(InetSocketAddress local) {
@@ -116,7 +116,8 @@
         channel.close();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         listener.close().syncUninterruptibly();
         connections.forEach(ChannelGroup::close);
     }
@@ -125,7 +126,8 @@
         private final Set<Execution> out = ConcurrentHashMap.newKeySet();
         private int server = -1;
 
-        @Override public void channelActive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
             int at = number((InetSocketAddress) ctx.channel().localAddress());
             if (at < 0 || at >= behaviour.length() || behaviour.get(at) == Behaviour.DOWN) {
                 reset(ctx.channel());
@@ -135,25 +137,27 @@
             connections.get(at).add(ctx.channel());
         }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
             double now = clock.now();
             out.forEach(execution -> execution.ended = now);
         }
 
-        @Override public void command(ChannelHandlerContext ctx, List<String> words,
-            Consumer<String> answer) {
+        @Override
+        public void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer) {
             boolean form = words.get(0).equals("CALL.GET") && words.size() == 4
-                || words.get(0).equals("CALL.POST") && words.size() == 5;
+                    || words.get(0).equals("CALL.POST") && words.size() == 5;
             Matcher patience = form ? PATIENCE.matcher(words.get(3)) : null;
             if (!form || !patience.find()) {
                 answer.accept("-SYNTAX\r\n");
                 return;
             }
             Behaviour now = behaviour.get(server);
-            Execution execution = new Execution(words.get(2), server, clock.now(),
-                Double.parseDouble(patience.group(1)), now != Behaviour.BUSY);
-            executions.computeIfAbsent(execution.request, id -> Collections.synchronizedList(
-                new ArrayList<>())).add(execution);
+            Execution execution = new Execution(
+                    words.get(2), server, clock.now(), Double.parseDouble(patience.group(1)), now != Behaviour.BUSY);
+            executions
+                    .computeIfAbsent(execution.request, id -> Collections.synchronizedList(new ArrayList<>()))
+                    .add(execution);
             out.add(execution);
             react(ctx, now, execution, text -> {
                 execution.ended = clock.now();
@@ -162,17 +166,20 @@
             });
         }
 
-        private void react(ChannelHandlerContext ctx, Behaviour now, Execution execution,
-            Consumer<String> answer) {
+        private void react(ChannelHandlerContext ctx, Behaviour now, Execution execution, Consumer<String> answer) {
             String value = "*3\r\n" + Loops.bulk("made for " + execution.request) + "$-1\r\n$-1\r\n";
             switch (now) {
                 case FAIL -> answer.accept("-ERR failed\r\n");
                 case BUSY -> answer.accept("-BUSY\r\n");
                 case RESET, DOWN -> reset(ctx.channel());
                 case HALF -> answer.accept(value.substring(0, value.length() / 2));
-                case HANG -> { }
-                default -> ctx.executor().schedule(() -> answer.accept(value),
-                    now == Behaviour.SLOW ? SLOW_FACTOR * SERVICE_MS : SERVICE_MS, TimeUnit.MILLISECONDS);
+                case HANG -> {}
+                default ->
+                    ctx.executor()
+                            .schedule(
+                                    () -> answer.accept(value),
+                                    now == Behaviour.SLOW ? SLOW_FACTOR * SERVICE_MS : SERVICE_MS,
+                                    TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/main/java/willowyoke/scale/soak/LagMeter.java
+++ b/src/main/java/willowyoke/scale/soak/LagMeter.java
@@ -17,7 +17,7 @@
     private static final double BEHIND = 100;
 
     /** A loop did nothing between two times (ms of the run). */
-    private record Stall(double from, double to) { }
+    private record Stall(double from, double to) {}
 
     private final RunClock clock;
     private final List<Stall> stalls = new CopyOnWriteArrayList<>();
@@ -29,13 +29,16 @@
     /** Measures a group of one loop until it is shut down. */
     void measure(EventLoopGroup group) {
         double due = clock.now() + TICK;
-        group.schedule(() -> {
-            double now = clock.now();
-            if (now - due > NOTED) {
-                stalls.add(new Stall(due, now));
-            }
-            measure(group);
-        }, (long) TICK, TimeUnit.MILLISECONDS);
+        group.schedule(
+                () -> {
+                    double now = clock.now();
+                    if (now - due > NOTED) {
+                        stalls.add(new Stall(due, now));
+                    }
+                    measure(group);
+                },
+                (long) TICK,
+                TimeUnit.MILLISECONDS);
     }
 
     /** How late (ms) something may have been noted at this time. */
--- a/src/main/java/willowyoke/scale/soak/NodeProcess.java
+++ b/src/main/java/willowyoke/scale/soak/NodeProcess.java
@@ -19,7 +19,13 @@
  */
 public final class NodeProcess implements AutoCloseable {
     /** The signals that a platform, or a test, sends. */
-    public enum Signal { TERM, HUP, STOP, CONT, KILL }
+    public enum Signal {
+        TERM,
+        HUP,
+        STOP,
+        CONT,
+        KILL
+    }
 
     private static final int PING_TIMEOUT = 1000;
     private static final long PING_PAUSE = 10;
@@ -46,10 +52,13 @@
      * @param log what it writes is appended here
      * @param address where it will listen for clients
      */
-    public static NodeProcess start(List<String> command, Path directory, Map<String, String> environment,
-        Path log, InetSocketAddress address) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).directory(directory.toFile())
-            .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+    public static NodeProcess start(
+            List<String> command, Path directory, Map<String, String> environment, Path log, InetSocketAddress address)
+            throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .directory(directory.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
         return new NodeProcess(builder.start(), log, address);
     }
@@ -105,8 +114,10 @@
         }
         try {
             new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + process.pid())
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
-                .waitFor();
+                    .redirectErrorStream(true)
+                    .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                    .start()
+                    .waitFor();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
@@ -133,7 +144,8 @@
         return Files.readString(log, StandardCharsets.ISO_8859_1);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         try {
             process.destroyForcibly().waitFor();
             Runtime.getRuntime().removeShutdownHook(killer);
--- a/src/main/java/willowyoke/scale/soak/NodeSlot.java
+++ b/src/main/java/willowyoke/scale/soak/NodeSlot.java
@@ -20,13 +20,21 @@
 final class NodeSlot implements AutoCloseable {
     /** New connections go on coming for so long (ms) after SIGTERM. */
     private static final double CONNECTS_ON = 350;
+
     private static final long READY_WITHIN = 30_000;
     private static final long LOOK = 5;
     private static final long DOWN_TIME = 200;
 
     /** What all nodes have in common. */
-    record Platform(RunClock clock, Path root, Path folder, SoakSettings settings, String known,
-        List<FaultProxy> discovery, List<FaultProxy> counter, FaultListener faults) { }
+    record Platform(
+            RunClock clock,
+            Path root,
+            Path folder,
+            SoakSettings settings,
+            String known,
+            List<FaultProxy> discovery,
+            List<FaultProxy> counter,
+            FaultListener faults) {}
 
     /** Told of what no fault of the run explains. */
     interface FaultListener {
@@ -46,7 +54,8 @@
     private volatile ProcessLife life;
     /** Until then (ms of the run) clients make new connections. */
     private volatile double connectsUntil = Double.NEGATIVE_INFINITY;
-    private volatile Runnable whenTerminated = () -> { };
+
+    private volatile Runnable whenTerminated = () -> {};
     private int links;
 
     NodeSlot(int number, Platform platform, long seed) throws IOException {
@@ -82,17 +91,24 @@
     }
 
     private NodeLaunch.Addresses addresses() {
-        return new NodeLaunch.Addresses("127.0.0.1:" + address.getPort(),
-            platform.discovery.get(links).dial(), platform.counter.get(links).dial());
+        return new NodeLaunch.Addresses(
+                "127.0.0.1:" + address.getPort(),
+                platform.discovery.get(links).dial(),
+                platform.counter.get(links).dial());
     }
 
     private Path configure() throws IOException {
         Path config = folder.resolve("config.json");
         Path next = folder.resolve("config.next");
-        Files.writeString(next, NodeLaunch.configuration("n" + number, addresses(), random.nextLong(),
-            platform.known, platform.settings.keys(number)));
-        return Files.move(next, config, java.nio.file.StandardCopyOption.ATOMIC_MOVE,
-            java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.writeString(
+                next,
+                NodeLaunch.configuration(
+                        "n" + number, addresses(), random.nextLong(), platform.known, platform.settings.keys(number)));
+        return Files.move(
+                next,
+                config,
+                java.nio.file.StandardCopyOption.ATOMIC_MOVE,
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Starts a process; it is the node's own from here on. */
@@ -102,12 +118,12 @@
             NodeLaunch.delete(temporary);
         }
         Files.createDirectories(temporary);
-        Map<String, String> environment = new HashMap<>(NodeLaunch.environment("n" + number, addresses(),
-            configure(), temporary));
+        Map<String, String> environment =
+                new HashMap<>(NodeLaunch.environment("n" + number, addresses(), configure(), temporary));
         environment.put("EDGE_LOG", "all");
         ProcessLife next = new ProcessLife(number, lives.size(), platform.clock.now());
-        NodeProcess process = NodeProcess.start(NodeLaunch.command(platform.root), platform.root,
-            environment, log, address);
+        NodeProcess process =
+                NodeProcess.start(NodeLaunch.command(platform.root), platform.root, environment, log, address);
         synchronized (this) {
             lives.add(next);
             processes.add(process);
@@ -253,7 +269,8 @@
         return current == null ? "" : current.log();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         processes.forEach(NodeProcess::close);
     }
 }
--- a/src/main/java/willowyoke/scale/soak/Oracle.java
+++ b/src/main/java/willowyoke/scale/soak/Oracle.java
@@ -16,11 +16,13 @@
 final class Oracle {
     /** A connection that ends so close (ms) to a kill has ended by it. */
     private static final double KILL_BEFORE = 50;
+
     private static final double KILL_BEHIND = 400;
     /** A request that was sent so shortly (ms) before the end of its connection crossed it. */
     private static final double CROSSING = 400;
     /** A kill behind SIGTERM excuses requests that came up to then (ms). */
     private static final double KILL_EXCUSES = 700;
+
     private static final double ANSWER_LATE = 500;
     private static final double SENT_AFTER_CLIENT = 100;
     private static final double PATIENCE_SLACK = 150;
@@ -31,9 +33,13 @@
     private static final double HOLD_UP = 150;
 
     /** What was seen, which faults there were, and how late something may have been noted at a time. */
-    record Seen(List<ClientRequest> requests, Function<String, List<Execution>> executions,
-        Map<Integer, List<ProcessLife>> lives, List<ServerNews> news, List<double[]> discoveryFaults,
-        DoubleUnaryOperator lag) { }
+    record Seen(
+            List<ClientRequest> requests,
+            Function<String, List<Execution>> executions,
+            Map<Integer, List<ProcessLife>> lives,
+            List<ServerNews> news,
+            List<double[]> discoveryFaults,
+            DoubleUnaryOperator lag) {}
 
     private final Seen seen;
     private final Servers servers;
@@ -66,8 +72,9 @@
     private void broken(String rule, ClientRequest request, List<Execution> attempts) {
         StringBuilder what = new StringBuilder(request.toString());
         for (Execution a : attempts) {
-            what.append(String.format("%n    at s%d began %.0f ended %.0f patience %.0f ran %s", a.server,
-                a.began, a.ended, a.patience, a.ran));
+            what.append(String.format(
+                    "%n    at s%d began %.0f ended %.0f patience %.0f ran %s",
+                    a.server, a.began, a.ended, a.patience, a.ran));
         }
         for (ProcessLife life : seen.lives.getOrDefault(request.node, List.of())) {
             what.append(String.format("%n    %s", life));
@@ -82,10 +89,11 @@
             case WRONG_VALUE -> broken("lost, wrong value", r, attempts);
             case NO_ANSWER -> broken("lost, no answer", r, attempts);
             case CONNECTION_ENDED -> connectionEnded(r, attempts);
-            default -> { }
+            default -> {}
         }
-        if (r.isAnswered() && r.sent < r.ended
-            && r.ended > Math.max(r.deadline(), r.turn) + ANSWER_LATE + slack(r.ended)) {
+        if (r.isAnswered()
+                && r.sent < r.ended
+                && r.ended > Math.max(r.deadline(), r.turn) + ANSWER_LATE + slack(r.ended)) {
             broken("lost, late answer", r, attempts);
         }
     }
@@ -114,8 +122,7 @@
 
     private void repeats(ClientRequest r, List<Execution> attempts) {
         for (int i = 1; i < attempts.size(); i++) {
-            if (attempts.get(i).began < attempts.get(i - 1).ended
-                - slack(attempts.get(i - 1).ended)) {
+            if (attempts.get(i).began < attempts.get(i - 1).ended - slack(attempts.get(i - 1).ended)) {
                 broken("copy, two attempts out", r, attempts);
                 break;
             }
@@ -153,8 +160,7 @@
 
     private void attempts(ClientRequest r, List<Execution> attempts) {
         for (Execution a : attempts) {
-            if (r.end == ClientRequest.End.CLIENT_LEFT && a.began > r.ended + SENT_AFTER_CLIENT
-                + slack(a.began)) {
+            if (r.end == ClientRequest.End.CLIENT_LEFT && a.began > r.ended + SENT_AFTER_CLIENT + slack(a.began)) {
                 broken("lost, sent after the client had gone", r, attempts);
             }
             if (r.sent == Double.POSITIVE_INFINITY) {
@@ -163,11 +169,11 @@
                 broken("deadline, told more than is left", r, attempts);
             }
             for (ServerNews news : seen.news) {
-                if (news.server() == a.server && a.began < news.until()
-                    && a.began > news.from() + toldWithin(news, a) + drainGrace + HOLD_UP + SLACK
-                    + slack(a.began)) {
-                    broken("drain, sent to s" + a.server + " told of at " + Math.round(news.from()), r,
-                        attempts);
+                if (news.server() == a.server
+                        && a.began < news.until()
+                        && a.began
+                                > news.from() + toldWithin(news, a) + drainGrace + HOLD_UP + SLACK + slack(a.began)) {
+                    broken("drain, sent to s" + a.server + " told of at " + Math.round(news.from()), r, attempts);
                 }
             }
         }
--- a/src/main/java/willowyoke/scale/soak/ProcessLife.java
+++ b/src/main/java/willowyoke/scale/soak/ProcessLife.java
@@ -9,6 +9,7 @@
     double terminated = Double.POSITIVE_INFINITY;
     /** When it was killed, while it ran. */
     double killed = Double.POSITIVE_INFINITY;
+
     double ended = Double.POSITIVE_INFINITY;
 
     ProcessLife(int node, int number, double started) {
@@ -22,8 +23,10 @@
         return killed < Double.POSITIVE_INFINITY && terminated == Double.POSITIVE_INFINITY;
     }
 
-    @Override public String toString() {
-        return String.format("n%d process %d: started %.0f ready %.0f SIGTERM %.0f SIGKILL %.0f ended %.0f",
-            node, number, started, ready, terminated, killed, ended);
+    @Override
+    public String toString() {
+        return String.format(
+                "n%d process %d: started %.0f ready %.0f SIGTERM %.0f SIGKILL %.0f ended %.0f",
+                node, number, started, ready, terminated, killed, ended);
     }
 }
--- a/src/main/java/willowyoke/scale/soak/SoakCommand.java
+++ b/src/main/java/willowyoke/scale/soak/SoakCommand.java
@@ -10,50 +10,59 @@
 import willowyoke.scale.Refused;
 
 /** The fault soak on the command line: a run for each seed, and exit code 1 where a rule was broken. */
-@Command(name = "soak", mixinStandardHelpOptions = true,
-    description = "Real nodes under faults that overlap in time, held against the protocol's rules")
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        description = "Real nodes under faults that overlap in time, held against the protocol's rules")
 public final class SoakCommand implements Callable<Integer> {
     private static final int NODES_LEAST = 10;
     private static final int NODES_MOST = 40;
     private static final int SHOWN = 8;
 
-    @Option(names = "--root", defaultValue = ".", description = "the repository's folder, built "
-        + "(default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
     private Path root;
 
     @Option(names = "--seed", defaultValue = "1", description = "of the first run (default ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--runs", defaultValue = "1",
-        description = "runs, each with the next seed (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--runs",
+            defaultValue = "1",
+            description = "runs, each with the next seed (default ${DEFAULT-VALUE})")
     private int runs;
 
-    @Option(names = "--nodes", defaultValue = "0",
-        description = "edge nodes; 0 draws 10 to 40 for each run (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--nodes",
+            defaultValue = "0",
+            description = "edge nodes; 0 draws 10 to 40 for each run (default ${DEFAULT-VALUE})")
     private int nodes;
 
-    @Option(names = "--servers", defaultValue = "30",
-        description = "place servers (default ${DEFAULT-VALUE})")
+    @Option(names = "--servers", defaultValue = "30", description = "place servers (default ${DEFAULT-VALUE})")
     private int servers;
 
-    @Option(names = "--seconds", defaultValue = "25",
-        description = "in which faults begin (default ${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "25", description = "in which faults begin (default ${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--rate", defaultValue = "10",
-        description = "requests a second at each node (default ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "10",
+            description = "requests a second at each node (default ${DEFAULT-VALUE})")
     private double rate;
 
-    @Option(names = "--faults", defaultValue = "2",
-        description = "that begin in a second (default ${DEFAULT-VALUE})")
+    @Option(names = "--faults", defaultValue = "2", description = "that begin in a second (default ${DEFAULT-VALUE})")
     private double faults;
 
     @Option(names = "--keep", description = "keeps the nodes' logs in this folder, one for each seed")
     private Path keep;
 
-    @Override public Integer call() throws Exception {
-        require(runs > 0 && seconds > 0 && rate > 0 && faults >= 0 && servers > 0,
-            "runs, seconds, rate and servers have to be above 0");
+    @Override
+    public Integer call() throws Exception {
+        require(
+                runs > 0 && seconds > 0 && rate > 0 && faults >= 0 && servers > 0,
+                "runs, seconds, rate and servers have to be above 0");
         require(nodes >= 0 && nodes <= NODES_MOST, "at most " + NODES_MOST + " nodes");
         require(keep == null || Files.isDirectory(keep), "no folder " + keep);
         int broken = 0;
@@ -71,13 +80,13 @@
     }
 
     private boolean run(long next) throws Exception {
-        int size = nodes > 0 ? nodes
-            : NODES_LEAST + new SplittableRandom(next).nextInt(NODES_MOST - NODES_LEAST + 1);
-        Path folder = keep == null ? Files.createTempDirectory("willowyoke-soak")
-            : Files.createDirectories(keep.resolve("seed-" + next));
+        int size = nodes > 0 ? nodes : NODES_LEAST + new SplittableRandom(next).nextInt(NODES_MOST - NODES_LEAST + 1);
+        Path folder = keep == null
+                ? Files.createTempDirectory("willowyoke-soak")
+                : Files.createDirectories(keep.resolve("seed-" + next));
         try {
-            SoakRun.Report report = new SoakRun(root, folder,
-                new SoakRun.Size(size, servers, seconds, rate, faults)).run(next);
+            SoakRun.Report report =
+                    new SoakRun(root, folder, new SoakRun.Size(size, servers, seconds, rate, faults)).run(next);
             System.out.println(report);
             report.violations().stream().limit(SHOWN).forEach(v -> System.out.println("  " + v));
             return report.violations().isEmpty();
--- a/src/main/java/willowyoke/scale/soak/SoakRun.java
+++ b/src/main/java/willowyoke/scale/soak/SoakRun.java
@@ -29,15 +29,23 @@
 /** One run of the soak: real processes, clients, faults that overlap, and the oracle's verdict. */
 final class SoakRun {
     /** What a run is of. */
-    record Size(int nodes, int servers, int seconds, double rate, double faultsPerSecond) { }
+    record Size(int nodes, int servers, int seconds, double rate, double faultsPerSecond) {}
 
     /** What came of a run. */
-    record Report(long seed, SoakSettings settings, Size size, int faults, int processes,
-        Map<ClientRequest.End, Integer> ends, double longestLag, List<Violation> violations) {
-        @Override public String toString() {
+    record Report(
+            long seed,
+            SoakSettings settings,
+            Size size,
+            int faults,
+            int processes,
+            Map<ClientRequest.End, Integer> ends,
+            double longestLag,
+            List<Violation> violations) {
+        @Override
+        public String toString() {
             return "seed " + seed + ": " + size.nodes + " nodes, " + processes + " processes, "
-                + size.servers + " servers, " + faults + " faults, " + settings + "; requests " + ends
-                + "; own lag at most " + Math.round(longestLag) + " ms; violations " + violations.size();
+                    + size.servers + " servers, " + faults + " faults, " + settings + "; requests " + ends
+                    + "; own lag at most " + Math.round(longestLag) + " ms; violations " + violations.size();
         }
     }
 
@@ -47,10 +55,12 @@
     private static final int STARTED_TOGETHER = 8;
     /** Before the first fault, and behind the last one's end (ms). */
     private static final double QUIET = 1000;
+
     private static final int LAST_FAULT_SECONDS = 60;
     private static final int LAST_ANSWER_MS = 8000;
     /** A restarted process is ready within this (ms), nine times in ten. */
     private static final double READY_SOON = 10_000;
+
     private static final int LOG_LINES = 20;
     /** What a node writes of exceptions of its own; those at place servers' answers are the servers'. */
     private static final Pattern FAULT = Pattern.compile("(event|module|client connection): .*");
@@ -93,14 +103,25 @@
         SoakSettings settings = new SoakSettings(size.nodes, random);
         Servers names = new Servers(size.servers, SoakSettings.zones());
         FaultyServers servers = opened(new FaultyServers(standIns, clock, size.servers));
-        AgentStandIn agent = opened(new AgentStandIn(standIns, 0, names, servers::dial,
-            new AgentStandIn.Form(random.nextBoolean(), random.nextBoolean()), random.nextLong()));
+        AgentStandIn agent = opened(new AgentStandIn(
+                standIns,
+                0,
+                names,
+                servers::dial,
+                new AgentStandIn.Form(random.nextBoolean(), random.nextBoolean()),
+                random.nextLong()));
         CounterStandIn counter = opened(new CounterStandIn(standIns, 0, COUNTER_PER_SECOND, 1));
         List<FaultProxy> discoveryProxies = proxies(agent.port());
         List<FaultProxy> counterProxies = proxies(counter.port());
-        NodeSlot.Platform platform = new NodeSlot.Platform(clock, root, folder, settings,
-            new String(agent.whole(), StandardCharsets.US_ASCII), discoveryProxies, counterProxies,
-            this::fault);
+        NodeSlot.Platform platform = new NodeSlot.Platform(
+                clock,
+                root,
+                folder,
+                settings,
+                new String(agent.whole(), StandardCharsets.US_ASCII),
+                discoveryProxies,
+                counterProxies,
+                this::fault);
         for (int i = 0; i < size.nodes; i++) {
             nodes.add(new NodeSlot(i, platform, random.nextLong()));
         }
@@ -110,10 +131,10 @@
         clients.start();
         double from = clock.now() + QUIET;
         double to = from + size.seconds * 1000.0;
-        List<FaultPlan.Fault> plan = FaultPlan.draw(random, (int) (size.seconds * size.faultsPerSecond), from,
-            to, size.nodes, size.servers, PROXIES);
-        FaultInjector injector = new FaultInjector(new FaultInjector.Scene(clock, nodes, servers, agent,
-            discoveryProxies, counterProxies, this::fault));
+        List<FaultPlan.Fault> plan = FaultPlan.draw(
+                random, (int) (size.seconds * size.faultsPerSecond), from, to, size.nodes, size.servers, PROXIES);
+        FaultInjector injector = new FaultInjector(
+                new FaultInjector.Scene(clock, nodes, servers, agent, discoveryProxies, counterProxies, this::fault));
         injector.play(plan);
         if (!injector.awaitEnd(LAST_FAULT_SECONDS)) {
             fault("harness", "a fault has not ended");
@@ -136,8 +157,7 @@
     private List<FaultProxy> proxies(int port) throws IOException {
         List<FaultProxy> proxies = new ArrayList<>();
         for (int i = 0; i < PROXIES; i++) {
-            proxies.add(opened(new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                port))));
+            proxies.add(opened(new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
         }
         return proxies;
     }
@@ -169,20 +189,36 @@
         }
     }
 
-    private Report report(long seed, SoakSettings settings, int faultCount, Servers names,
-        FaultyServers servers, FaultInjector injector, List<ClientRequest> requests) throws IOException {
+    private Report report(
+            long seed,
+            SoakSettings settings,
+            int faultCount,
+            Servers names,
+            FaultyServers servers,
+            FaultInjector injector,
+            List<ClientRequest> requests)
+            throws IOException {
         Map<Integer, List<ProcessLife>> lives = new HashMap<>();
         nodes.forEach(node -> lives.put(node.number, node.lives()));
         List<Violation> violations = new ArrayList<>(faults);
-        for (Violation found : Oracle.check(new Oracle.Seen(requests, servers::of, lives, injector.news(),
-            injector.discoveryFaults(), lag::at), names, Site.DRAIN_GRACE)) {
+        for (Violation found : Oracle.check(
+                new Oracle.Seen(requests, servers::of, lives, injector.news(), injector.discoveryFaults(), lag::at),
+                names,
+                Site.DRAIN_GRACE)) {
             violations.add(withLog(found, requests));
         }
         violations.addAll(processes(lives));
         Map<ClientRequest.End, Integer> ends = new EnumMap<>(ClientRequest.End.class);
         requests.forEach(r -> ends.merge(r.end, 1, Integer::sum));
-        return new Report(seed, settings, size, faultCount,
-            lives.values().stream().mapToInt(List::size).sum(), ends, lag.longest(), violations);
+        return new Report(
+                seed,
+                settings,
+                size,
+                faultCount,
+                lives.values().stream().mapToInt(List::size).sum(),
+                ends,
+                lag.longest(),
+                violations);
     }
 
     /** What the node wrote of the request that a violation names. */
@@ -190,9 +226,12 @@
         for (ClientRequest r : requests) {
             if (found.what().startsWith("id " + r.id + " ")) {
                 StringBuilder text = new StringBuilder(found.what());
-                nodes.get(r.node).log().lines().filter(line -> line.contains("request=" + r.id + " ")
-                    || line.endsWith("request=" + r.id)).limit(LOG_LINES)
-                    .forEach(line -> text.append(String.format("%n    log %s", line)));
+                nodes.get(r.node)
+                        .log()
+                        .lines()
+                        .filter(line -> line.contains("request=" + r.id + " ") || line.endsWith("request=" + r.id))
+                        .limit(LOG_LINES)
+                        .forEach(line -> text.append(String.format("%n    log %s", line)));
                 return new Violation(found.rule(), text.toString());
             }
         }
@@ -203,15 +242,23 @@
     private List<Violation> processes(Map<Integer, List<ProcessLife>> lives) throws IOException {
         List<Violation> violations = new ArrayList<>();
         List<ProcessLife> all = lives.values().stream().flatMap(List::stream).toList();
-        List<ProcessLife> late = all.stream().filter(l -> l.ready - l.started > READY_SOON).toList();
+        List<ProcessLife> late =
+                all.stream().filter(l -> l.ready - l.started > READY_SOON).toList();
         if (late.size() * 10 > all.size()) {
             violations.add(new Violation("start", late.size() + " of " + all.size() + " are ready late"));
         }
         for (NodeSlot node : nodes) {
-            node.log().lines().filter(line -> line.contains(" violation ")).limit(LOG_LINES).forEach(line ->
-                violations.add(new Violation("invariant", "n" + node.number + " " + line)));
-            node.log().lines().filter(line -> FAULT.matcher(line).matches()).limit(LOG_LINES).forEach(line ->
-                violations.add(new Violation("fault in the node", "n" + node.number + " " + line)));
+            node.log()
+                    .lines()
+                    .filter(line -> line.contains(" violation "))
+                    .limit(LOG_LINES)
+                    .forEach(line -> violations.add(new Violation("invariant", "n" + node.number + " " + line)));
+            node.log()
+                    .lines()
+                    .filter(line -> FAULT.matcher(line).matches())
+                    .limit(LOG_LINES)
+                    .forEach(
+                            line -> violations.add(new Violation("fault in the node", "n" + node.number + " " + line)));
         }
         return violations;
     }
--- a/src/main/java/willowyoke/scale/soak/SoakSettings.java
+++ b/src/main/java/willowyoke/scale/soak/SoakSettings.java
@@ -15,6 +15,7 @@
 public final class SoakSettings {
     /** A plan with little room beside the usual one. */
     static final String SMALL_PLAN = "small";
+
     private static final int ZONES = 3;
     private static final int SHORTEST = 500;
     private static final int LONGEST = 4000;
@@ -79,7 +80,8 @@
     }
 
     /** For a report's head. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         List<String> told = new ArrayList<>();
         for (int deadline : deadlines) {
             told.add(Integer.toString(deadline));
--- a/src/main/java/willowyoke/scale/soak/Violation.java
+++ b/src/main/java/willowyoke/scale/soak/Violation.java
@@ -2,7 +2,8 @@
 
 /** A broken rule, with what shows it. */
 record Violation(String rule, String what) {
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return rule + ": " + what;
     }
 }
--- a/src/test/java/willowyoke/Bench.java
+++ b/src/test/java/willowyoke/Bench.java
@@ -15,6 +15,7 @@
     final List<Double> totals = new ArrayList<>();
     /** The servers that the module uses at present. */
     final Set<String> kept = new TreeSet<>();
+
     Map<Long, Double> sums = new HashMap<>();
     int me;
     long seed = 7;
@@ -24,20 +25,16 @@
     double now;
     Decide module;
     List<Gateway.RequestClass> classes = List.of(
-        new Gateway.RequestClass("read", Gateway.Effect.SAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false),
-        new Gateway.RequestClass("all", Gateway.Effect.KEYED, Gateway.Group.ALL,
-            600, 2000, 1, 0, 400, false),
-        new Gateway.RequestClass("zone", Gateway.Effect.KEYED, Gateway.Group.ZONE,
-            600, 2000, 1, 0, 5000, false),
-        new Gateway.RequestClass("cell", Gateway.Effect.KEYED, Gateway.Group.CELL,
-            600, 2000, 1, 0, 5000, false),
-        new Gateway.RequestClass("once", Gateway.Effect.UNSAFE,
-            Gateway.Group.CELL, 600, 2000, 1, 0, 0, false));
+            new Gateway.RequestClass("read", Gateway.Effect.SAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false),
+            new Gateway.RequestClass("all", Gateway.Effect.KEYED, Gateway.Group.ALL, 600, 2000, 1, 0, 400, false),
+            new Gateway.RequestClass("zone", Gateway.Effect.KEYED, Gateway.Group.ZONE, 600, 2000, 1, 0, 5000, false),
+            new Gateway.RequestClass("cell", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 2000, 1, 0, 5000, false),
+            new Gateway.RequestClass("once", Gateway.Effect.UNSAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false));
     List<Gateway.Plan> plans = List.of(
-        new Gateway.Plan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
-        new Gateway.Plan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
-        new Gateway.Plan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
-        new Gateway.Plan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
+            new Gateway.Plan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
+            new Gateway.Plan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
+            new Gateway.Plan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
+            new Gateway.Plan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
     boolean copies = true;
     boolean counter = true;
     boolean settled;
@@ -57,9 +54,20 @@
     }
 
     Gateway.Settings settings() {
-        return new Gateway.Settings(me, nodes, "a", 2, ask, settled, mostUnits, List.of(), classes, plans,
-            new Gateway.Allowed(true, true, copies, true, false, counter, 5, 2000, 50),
-            new Gateway.Rules(16, 250, 0.2, 15000, 2, 2000), new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+        return new Gateway.Settings(
+                me,
+                nodes,
+                "a",
+                2,
+                ask,
+                settled,
+                mostUnits,
+                List.of(),
+                classes,
+                plans,
+                new Gateway.Allowed(true, true, copies, true, false, counter, 5, 2000, 50),
+                new Gateway.Rules(16, 250, 0.2, 15000, 2, 2000),
+                new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
     }
 
     /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
@@ -141,50 +149,61 @@
         return found;
     }
 
-    @Override public void send(long id, String server, double until) {
+    @Override
+    public void send(long id, String server, double until) {
         log.add("send " + id + " " + server);
     }
 
-    @Override public void cancel(long id, int attempt) {
+    @Override
+    public void cancel(long id, int attempt) {
         log.add("cancel " + id + " " + attempt);
     }
 
-    @Override public void refuse(long id, double retryAfter) {
+    @Override
+    public void refuse(long id, double retryAfter) {
         log.add("refuse " + id);
     }
 
-    @Override public void fail(long id) {
+    @Override
+    public void fail(long id) {
         log.add("fail " + id);
     }
 
-    @Override public void timer(double delay, long token) {
+    @Override
+    public void timer(double delay, long token) {
         timers.add(new double[] {now + delay, token});
     }
 
-    @Override public void probe(String server) {
+    @Override
+    public void probe(String server) {
         log.add("probe " + server);
     }
 
-    @Override public void count(long name, double amount, double keepFor) {
+    @Override
+    public void count(long name, double amount, double keepFor) {
         log.add("count " + amount);
         calls.add(new long[] {name});
         totals.add(sums.merge(name, amount, Double::sum));
     }
 
-    @Override public void subscribe() {
+    @Override
+    public void subscribe() {
         log.add("subscribe");
     }
 
-    @Override public void withdraw(String server) {
+    @Override
+    public void withdraw(String server) {
         log.add("withdraw " + server);
     }
 
-    @Override public void keep(Gateway.Server server) {
+    @Override
+    public void keep(Gateway.Server server) {
         log.add("keep " + server.id());
         kept.add(server.id());
     }
 
-    @Override public void release(String server) {
+    @Override
+    public void release(String server) {
         log.add("release " + server);
         kept.remove(server);
     }
--- a/src/test/java/willowyoke/CordonTest.java
+++ b/src/test/java/willowyoke/CordonTest.java
@@ -24,10 +24,13 @@
     }
 
     private static long sentTo(Bench b, String server) {
-        return b.log.stream().filter(line -> line.startsWith("sen") && line.endsWith(" " + server)).count();
+        return b.log.stream()
+                .filter(line -> line.startsWith("sen") && line.endsWith(" " + server))
+                .count();
     }
 
-    @Test void nothingGoesToAServerThatIsOutWhateverTheListSays() {
+    @Test
+    void nothingGoesToAServerThatIsOutWhateverTheListSays() {
         Bench b = Bench.plain().start().servers(3);
         load(b, 10_000, 10_100);
         assertTrue(sentTo(b, "s1") > 0);
@@ -46,7 +49,8 @@
     }
 
     /** No attempt of another node's retry either: it is a retry's server too that is chosen anew. */
-    @Test void aRetryDoesNotGoThere() {
+    @Test
+    void aRetryDoesNotGoThere() {
         Bench b = Bench.plain().start().servers(2);
         b.arrive(1, "read", "big", "c");
         String first = b.sentTo(1);
@@ -56,7 +60,8 @@
         assertEquals(0, sentTo(b, first.equals("s0") ? "s1" : "s0"));
     }
 
-    @Test void aServerNoListHasNamedIsNotKnown() {
+    @Test
+    void aServerNoListHasNamedIsNotKnown() {
         Bench b = Bench.plain().start().servers(2);
         assertFalse(b.module.cordon(b.now, "s9", true));
         assertFalse(b.module.cordon(b.now, "s9", false));
@@ -66,7 +71,8 @@
     }
 
     /** With short queues the others are always quicker than a cold one: it would be left alone. */
-    @Test void aServerThatIsBackIsUsedWithinFiveSecondsAndGently() {
+    @Test
+    void aServerThatIsBackIsUsedWithinFiveSecondsAndGently() {
         Bench b = Bench.plain().start().servers(3);
         load(b, 0, 300);
         b.module.cordon(b.now, "s1", true);
@@ -88,7 +94,8 @@
     }
 
     /** A slow trickle: no budget for a cold server builds up in time. */
-    @Test void aServerThatIsBackIsUsedWithFewRequestsToo() {
+    @Test
+    void aServerThatIsBackIsUsedWithFewRequestsToo() {
         Bench b = Bench.plain().start().servers(12);
         b.module.cordon(b.now, "s1", true);
         b.module.cordon(b.now, "s1", false);
@@ -101,7 +108,8 @@
     }
 
     /** What was kept binds from the start, before the list has named the server, until it is put back. */
-    @Test void whatWasKeptIsOutFromTheStart() {
+    @Test
+    void whatWasKeptIsOutFromTheStart() {
         Bench b = Bench.plain().start();
         b.module.cordons(b.now, Set.of("s0", "s7"));
         b.servers(2);
@@ -115,7 +123,8 @@
     }
 
     /** The budget of cold servers went by what was sent: with all of them cold, less and less of both. */
-    @Test void aFleetThatRestartsTogetherIsUsedAsFarAsItCan() {
+    @Test
+    void aFleetThatRestartsTogetherIsUsedAsFarAsItCan() {
         Bench b = Bench.plain().start().servers(10);
         load(b, 0, 1000);
         List<Gateway.Server> cold = new java.util.ArrayList<>();
--- a/src/test/java/willowyoke/HangupTest.java
+++ b/src/test/java/willowyoke/HangupTest.java
@@ -7,7 +7,8 @@
 
 /** A new configuration that is told of while the node comes up was never read. */
 class HangupTest {
-    @Test void aSignalDuringTheStartIsHeardOnceThereIsANode() {
+    @Test
+    void aSignalDuringTheStartIsHeardOnceThereIsANode() {
         Hangup hangup = new Hangup();
         AtomicInteger told = new AtomicInteger();
         hangup.came();
@@ -18,7 +19,8 @@
         assertEquals(2, told.get());
     }
 
-    @Test void withoutASignalNothingIsRun() {
+    @Test
+    void withoutASignalNothingIsRun() {
         AtomicInteger told = new AtomicInteger();
         new Hangup().to(told::incrementAndGet);
         assertEquals(0, told.get());
--- a/src/test/java/willowyoke/ListMemory.java
+++ b/src/test/java/willowyoke/ListMemory.java
@@ -27,13 +27,13 @@
     private static long cpuBefore;
     private static long wallBefore = System.nanoTime();
 
-    private ListMemory() { }
+    private ListMemory() {}
 
     public static void main(String[] args) throws Exception {
         int servers = args.length > 0 ? Integer.parseInt(args[0]) : 200_000;
         Path folder = Files.createTempDirectory("list-memory");
         try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            ServerSocket counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+                ServerSocket counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
             try (PrintStream out = new PrintStream(new BufferedOutputStream(Files.newOutputStream(config)))) {
                 out.printf("""
@@ -42,8 +42,7 @@
                      "settings":{"rank":0,"group_size":8200,"tick":4,"my_zone":"z0",
                       "family_info":{"shared_counter":true},"request_classes":[{"name":"r",
                        "effect":"read_like","aim":600,"hard_limit":2000}],
-                      "tariffs":[{"name":"p","per_second":8,"depth":8}]},"known":""", agent.getLocalPort(),
-                    counter.getLocalPort());
+                      "tariffs":[{"name":"p","per_second":8,"depth":8}]},"known":""", agent.getLocalPort(), counter.getLocalPort());
                 if (args.length > 1) {
                     list(out, servers, 1);
                 } else {
@@ -66,17 +65,17 @@
         out.print("{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[");
         for (int i = 0; i < servers; i++) {
             out.print((i > 0 ? ",\n" : "") + "{\"host\":\"s-" + Integer.toHexString(0x5be2a07c + i)
-                + "\",\"dial\":\"127." + (1 + (i >> 16)) + "." + (i >> 8 & 255) + "." + (i & 255)
-                + ":6379\",\"site\":\"z" + i % 18 + "\",\"class\":\"m" + i % 5 + "\",\"block\":" + i / 40
-                + ",\"health\":\"active\",\"share\":1.0,\"born_ms\":0}");
+                    + "\",\"dial\":\"127." + (1 + (i >> 16)) + "." + (i >> 8 & 255) + "." + (i & 255)
+                    + ":6379\",\"site\":\"z" + i % 18 + "\",\"class\":\"m" + i % 5 + "\",\"block\":" + i / 40
+                    + ",\"health\":\"active\",\"share\":1.0,\"born_ms\":0}");
         }
         out.print("]}\n");
         out.flush();
     }
 
     private static Process start(Path config, Path folder) throws IOException {
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + File.separator
-            + "bin" + File.separator + "java"));
+        List<String> command = new ArrayList<>(
+                List.of(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java"));
         for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
             for (String word : line.startsWith("run = ") ? line.split(" ") : new String[0]) {
                 if (word.startsWith("-X") || word.startsWith("-Dio.netty") && !word.contains("$")) {
@@ -96,8 +95,8 @@
         int seq = 2;
         for (int round = 0; round < 3; round++) {
             try (Socket socket = agent.accept()) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.US_ASCII));
+                BufferedReader in =
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 in.readLine();
                 step(node, servers, round == 0 ? "asks" : "asks again");
                 OutputStream raw = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
@@ -115,14 +114,16 @@
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         long cpu = TICK * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
         long wall = System.nanoTime();
-        System.out.println(servers + "," + what + "," + (wall - wallBefore) / 1_000_000 + ","
-            + (cpu - cpuBefore) + "," + status(of, "VmRSS:") + "," + status(of, "VmHWM:"));
+        System.out.println(servers + "," + what + "," + (wall - wallBefore) / 1_000_000 + "," + (cpu - cpuBefore) + ","
+                + status(of, "VmRSS:") + "," + status(of, "VmHWM:"));
         cpuBefore = cpu;
         wallBefore = wall;
     }
 
     private static long status(Path of, String name) throws IOException {
-        return Files.readAllLines(of.resolve("status")).stream().filter(l -> l.startsWith(name))
-            .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024).sum();
+        return Files.readAllLines(of.resolve("status")).stream()
+                .filter(l -> l.startsWith(name))
+                .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024)
+                .sum();
     }
 }
--- a/src/test/java/willowyoke/QuotaTest.java
+++ b/src/test/java/willowyoke/QuotaTest.java
@@ -33,7 +33,8 @@
         return (b.count("send") - before) / 4.0;
     }
 
-    @Test void aFirstRequestIsClaimedAtOnceAndHeldUntilTheTotalIsKnown() {
+    @Test
+    void aFirstRequestIsClaimedAtOnceAndHeldUntilTheTotalIsKnown() {
         Bench b = new Bench().start().servers(8);
         b.arrive(1, "read", "rate", "c");
         assertEquals(0, b.count("send"), "no part has been given yet");
@@ -42,7 +43,8 @@
         assertEquals(1, b.count("send 1"));
     }
 
-    @Test void whatTheStoreDoesNotCoverWaitsForTheRate() {
+    @Test
+    void whatTheStoreDoesNotCoverWaitsForTheRate() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -56,7 +58,8 @@
     }
 
     /** All that is held was added, and most of it taken off again: two calls where none had been of use. */
-    @Test void noMoreIsClaimedThanTheLastReadingLeaves() {
+    @Test
+    void noMoreIsClaimedThanTheLastReadingLeaves() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -68,7 +71,8 @@
         assertEquals(0, b.count("count -"), "nothing to give back: " + b.log);
     }
 
-    @Test void whatOthersTookMeanwhileIsGivenBack() {
+    @Test
+    void whatOthersTookMeanwhileIsGivenBack() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -80,21 +84,25 @@
         assertEquals(1, b.count("count -4.0"), b.log.toString());
     }
 
-    @Test void aloneItTakesTheWholeQuota() {
+    @Test
+    void aloneItTakesTheWholeQuota() {
         assertEquals(8, rate(new Bench(), OK, 0), 0.8);
     }
 
-    @Test void whatOthersTookIsLeftOut() {
+    @Test
+    void whatOthersTookIsLeftOut() {
         assertEquals(2, rate(new Bench(), OK, 6), 0.9);
     }
 
-    @Test void aCounterThatNeverAnswersMeansNoMoreThanTheEvenPart() {
+    @Test
+    void aCounterThatNeverAnswersMeansNoMoreThanTheEvenPart() {
         double rate = rate(new Bench(), Gateway.Outcome.NO_CONNECTION, 0);
         assertTrue(rate > 2 && rate < 5, "even part 4: " + rate);
     }
 
     /** A connection to the counter that breaks is no crowding: slowing down for it refused nine in ten. */
-    @Test void brokenCounterConnectionsDoNotSlowTheCalls() {
+    @Test
+    void brokenCounterConnectionsDoNotSlowTheCalls() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 200; i++) {
             b.to(i * 250);
@@ -113,7 +121,8 @@
     }
 
     /** A give-back that was turned away was added once more in place of taken off with the next call. */
-    @Test void aGiveBackThatWasTurnedAwayIsMadeUp() {
+    @Test
+    void aGiveBackThatWasTurnedAwayIsMadeUp() {
         double[] given = afterGiveBack(OK);
         for (Gateway.Outcome outcome : List.of(Gateway.Outcome.FULL, Gateway.Outcome.RESET)) {
             double[] turned = afterGiveBack(outcome);
@@ -132,19 +141,29 @@
         b.answerCounter(OK); // the claim of the first
         b.answerCounter(OK); // of the rest
         assertEquals(1, b.calls.size(), b.log.toString());
-        double back = Double.parseDouble(b.log.stream().filter(l -> l.startsWith("count "))
-            .reduce((p, l) -> l).orElseThrow().substring("count ".length()));
+        double back = Double.parseDouble(b.log.stream()
+                .filter(l -> l.startsWith("count "))
+                .reduce((p, l) -> l)
+                .orElseThrow()
+                .substring("count ".length()));
         assertTrue(back < 0, b.log.toString());
         b.answerCounter(outcome);
         b.log.clear();
         b.to(1500);
         b.arrive(50, "read", "rate", "c");
-        return new double[] {back, Double.parseDouble(b.log.stream().filter(l -> l.startsWith("count "))
-            .findFirst().orElseThrow().substring("count ".length()))};
+        return new double[] {
+            back,
+            Double.parseDouble(b.log.stream()
+                    .filter(l -> l.startsWith("count "))
+                    .findFirst()
+                    .orElseThrow()
+                    .substring("count ".length()))
+        };
     }
 
     /** Eight broken connections in a row were taken for a counter that is away: nothing was asked for 2 s. */
-    @Test void brokenCounterConnectionsDoNotMeanSilence() {
+    @Test
+    void brokenCounterConnectionsDoNotMeanSilence() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "x" + i);
@@ -154,13 +173,15 @@
         assertEquals(21, b.count("count 1.0"), "the counter is still asked");
     }
 
-    @Test void aRefusingCounterIsNotFlooded() {
+    @Test
+    void aRefusingCounterIsNotFlooded() {
         Bench b = new Bench();
         rate(b, Gateway.Outcome.FULL, 0);
         assertTrue(b.count("count") < 12 * 4 * 2, "calls: " + b.count("count"));
     }
 
-    @Test void aHundredGatewaysTogetherKeepTheQuotaAndFollowWeight() {
+    @Test
+    void aHundredGatewaysTogetherKeepTheQuotaAndFollowWeight() {
         Map<Long, Double> counter = new HashMap<>();
         List<Bench> all = new ArrayList<>();
         for (int n = 0; n < 100; n++) {
@@ -182,10 +203,12 @@
         }
         long sent = all.stream().mapToLong(b -> b.count("send")).sum();
         assertTrue(sent <= 8 + 8 * 20 + 2 && sent > 8 * 20 * 0.8, "burst 8 and 8 a second for 20 s: " + sent);
-        assertTrue(all.get(7).count("send") > sent / 8.0, "weight: " + all.get(7).count("send"));
+        assertTrue(
+                all.get(7).count("send") > sent / 8.0, "weight: " + all.get(7).count("send"));
     }
 
-    @Test void aNewCustomerOverThreeHundredGatewaysDoesNotExceedItsBurst() {
+    @Test
+    void aNewCustomerOverThreeHundredGatewaysDoesNotExceedItsBurst() {
         Map<Long, Double> counter = new HashMap<>();
         long sent = 0;
         for (int n = 0; n < 300; n++) {
@@ -201,7 +224,8 @@
         assertEquals(8, sent);
     }
 
-    @Test void aLostNameDoesNotGiveTheBurstAgain() {
+    @Test
+    void aLostNameDoesNotGiveTheBurstAgain() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 8; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -218,7 +242,8 @@
     }
 
     /** The plan of a customer's first request was that of all its later ones. */
-    @Test void aRequestIsHeldAgainstTheQuotaOfItsOwnPlan() {
+    @Test
+    void aRequestIsHeldAgainstTheQuotaOfItsOwnPlan() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 8; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -232,7 +257,8 @@
         assertEquals(0, b.count("send 11"), "the burst of 8 is used up");
     }
 
-    @Test void aLateCallIsMadeUpForByTheNextAdd() {
+    @Test
+    void aLateCallIsMadeUpForByTheNextAdd() {
         Bench b = new Bench().start().servers(8);
         b.arrive(1, "read", "rate", "c");
         b.answerCounter(Gateway.Outcome.TIMEOUT);
@@ -242,7 +268,8 @@
         assertEquals(1, b.count("send 1"));
     }
 
-    @Test void withNoCallToBeHadARequestGoesByBeliefAndIsToldLater() {
+    @Test
+    void withNoCallToBeHadARequestGoesByBeliefAndIsToldLater() {
         Bench b = new Bench();
         b.nodes = 1000; // a first allowance of one call for this gateway
         b.start().servers(2000);
@@ -260,7 +287,8 @@
     }
 
     /** Fourteen gateways each called anew while their late calls stood in line: half of all were late. */
-    @Test void aCallThatTimedOutIsGivenTimeToLeaveTheLine() {
+    @Test
+    void aCallThatTimedOutIsGivenTimeToLeaveTheLine() {
         Bench b = new Bench();
         b.nodes = 1000; // one call at a time at first
         b.start().servers(2000);
@@ -277,7 +305,8 @@
     }
 
     /** Sixty gateways with one call out each: two in three were late, as the counter had a line of them. */
-    @Test void whereOneCallAGatewayIsTooManyThereArePausesBetweenThem() {
+    @Test
+    void whereOneCallAGatewayIsTooManyThereArePausesBetweenThem() {
         Bench b = new Bench();
         b.nodes = 1000;
         b.start().servers(2000);
@@ -286,7 +315,8 @@
     }
 
     /** A counter that was away for some seconds left a gateway of three with pauses of a second and more. */
-    @Test void behindASilenceCallsAreNotPausedAsInACrowd() {
+    @Test
+    void behindASilenceCallsAreNotPausedAsInACrowd() {
         Bench b = new Bench().start().servers(100);
         for (int i = 0; i < 300; i++) {
             b.to(i * 20);
@@ -326,7 +356,8 @@
     }
 
     /** A hundred gateways that read an empty store twice a second left the counter nothing else to do. */
-    @Test void anEmptyStoreIsReadAgainLaterWhereItsSetIsLarge() {
+    @Test
+    void anEmptyStoreIsReadAgainLaterWhereItsSetIsLarge() {
         for (int spread : List.of(2, 100)) {
             Bench b = new Bench();
             b.nodes = 1000; // one call at a time at first
@@ -350,7 +381,8 @@
      * Calls were bounded in number for each subperiod, and all came at its edge: a counter that takes 9 ms
      * for one answered most of them past their limit. Now so many are out as it answers in time.
      */
-    @Test void aSlowCounterIsAskedByFewCallsAtATime() {
+    @Test
+    void aSlowCounterIsAskedByFewCallsAtATime() {
         Bench b = new Bench().start().servers(100);
         int most = 0;
         double free = 0;
@@ -369,8 +401,8 @@
             while (!done.isEmpty() && done.peek() <= t) {
                 double took = 9 * b.calls.size(); // about: those behind it have come since
                 late.add(took);
-                b.module.counted(t, b.calls.remove(0)[0], took > 50 ? Gateway.Outcome.TIMEOUT : OK, took,
-                    b.totals.remove(0));
+                b.module.counted(
+                        t, b.calls.remove(0)[0], took > 50 ? Gateway.Outcome.TIMEOUT : OK, took, b.totals.remove(0));
                 done.poll();
             }
             for (int k = Math.max(0, t - 500); k <= t; k++) { // what was held meanwhile is answered too
@@ -382,7 +414,8 @@
         assertTrue(b.count("refuse") < 200, "refused though none is short: " + b.count("refuse"));
     }
 
-    @Test void trueUnitsAreTakenFromTheCredits() {
+    @Test
+    void trueUnitsAreTakenFromTheCredits() {
         Bench b = new Bench();
         b.settled = true;
         b.mostUnits = 4;
@@ -394,7 +427,8 @@
         assertEquals(1, b.count("count 4.0"), "the 3 more of the first request and the 1 of this one");
     }
 
-    @Test void openCapIsHeldByTheCount() {
+    @Test
+    void openCapIsHeldByTheCount() {
         Bench b = new Bench().start().servers(8);
         b.arrive(1, "read", "open", "c");
         assertEquals(0, b.count("send"), "not before the counter has answered");
@@ -409,7 +443,8 @@
         assertEquals(1, b.count("send 2"), "the slot of the first request is used again");
     }
 
-    @Test void openCapWithoutACallIsOneAtATimeWhileTheLastCountsShowedRoom() {
+    @Test
+    void openCapWithoutACallIsOneAtATimeWhileTheLastCountsShowedRoom() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 20; i++) { // the counter is away
             b.arrive(100 + i, "read", "open", "d" + i, 1, 100);
@@ -423,7 +458,8 @@
         assertEquals(2, b.count("send"));
     }
 
-    @Test void aMarkedRepeatIsRefusedWhileItsCustomerIsShort() {
+    @Test
+    void aMarkedRepeatIsRefusedWhileItsCustomerIsShort() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 30; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -438,7 +474,8 @@
     }
 
     /** Held longer, a request that is never sent has used up what its client had for another try. */
-    @Test void aRequestIsHeldForHalfOfItsClientsWaitAtMost() {
+    @Test
+    void aRequestIsHeldForHalfOfItsClientsWaitAtMost() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 30; i++) {
             b.module.arrived(0, new Gateway.Request(i, "read", "rate", "c", 600, 1, 2, 0, false));
@@ -479,7 +516,8 @@
     }
 
     /** What a full store did not take in stayed on the name: each gateway in turn took it for room. */
-    @Test void whatAFullStoreDidNotTakeInIsTakenOffItsName() {
+    @Test
+    void whatAFullStoreDidNotTakeInIsTakenOffItsName() {
         List<Bench> both = two();
         assertEquals(2, burst(both.get(0), 0, 1) + burst(both.get(1), 0, 1));
         assertEquals(8, burst(both.get(0), 600, 8), "full since 250 ms");
@@ -487,7 +525,8 @@
     }
 
     /** All put a new name right at once: until all but one took theirs back, it showed far too little. */
-    @Test void aNewNameIsPutRightByOneGatewayFirst() {
+    @Test
+    void aNewNameIsPutRightByOneGatewayFirst() {
         Map<Long, Double> counter = new HashMap<>();
         long corrections = 0;
         List<Bench> all = new ArrayList<>();
@@ -502,14 +541,17 @@
         }
         for (Bench b : all) {
             b.answerCounter(OK);
-            corrections += b.log.stream().filter(l -> l.startsWith("count 1") && l.length() > 9).count();
+            corrections += b.log.stream()
+                    .filter(l -> l.startsWith("count 1") && l.length() > 9)
+                    .count();
         }
         assertEquals(1, corrections, "what the quota has filled in 20 s");
         assertEquals(4, all.stream().mapToLong(b -> b.count("send")).sum());
     }
 
     /** At a new name the gateway that had read the old one longest ago took its reading for the store's. */
-    @Test void aNewNameDoesNotGiveWhatOthersHaveTaken() {
+    @Test
+    void aNewNameDoesNotGiveWhatOthersHaveTaken() {
         List<Bench> both = two();
         assertEquals(1, burst(both.get(0), 20_000, 1), "it last sees a full store");
         assertEquals(8, burst(both.get(1), 29_999, 8));
@@ -520,7 +562,8 @@
      * Two gateways with an uneven customer that asks for more than it has: in silence their parts, by what
      * each was given before, are the quota; by what each had asked for they were up to twice that.
      */
-    @Test void inSilenceThePartsOfAllGatewaysAreNoMoreThanTheQuota() {
+    @Test
+    void inSilenceThePartsOfAllGatewaysAreNoMoreThanTheQuota() {
         List<Bench> both = two();
         long id = 0;
         for (int t = 0; t < 16_000; t += 20) {
@@ -544,7 +587,8 @@
     }
 
     /** Requests move while nothing is heard: a gateway that had few before held them to its old part. */
-    @Test void inSilenceAGatewaySoonHasTheEvenPart() {
+    @Test
+    void inSilenceAGatewaySoonHasTheEvenPart() {
         List<Bench> both = two();
         long before = 0;
         for (int t = 0; t < 10_000; t += 20) {
@@ -567,7 +611,8 @@
     }
 
     /** A counter that is back empty had each gateway hand out what the others had sent in the meantime. */
-    @Test void afterSilenceWhatOthersHaveSentIsNotGivenAgain() {
+    @Test
+    void afterSilenceWhatOthersHaveSentIsNotGivenAgain() {
         List<Bench> both = two();
         long before = 0;
         for (int t = 0; t < 12_000; t += 20) {
@@ -591,7 +636,8 @@
     }
 
     /** What was sent in silence was taken off the store again when the counter was back, filled up or not. */
-    @Test void whatWasSentInSilenceLongAgoIsNotTakenOffAFullStore() {
+    @Test
+    void whatWasSentInSilenceLongAgoIsNotTakenOffAFullStore() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 500; i++) {
             b.to(i * 20);
@@ -611,7 +657,8 @@
     }
 
     /** A reading amid another gateway's claim that is then cut was held against the store from then on. */
-    @Test void aLowReadingIsNoBoundForTheNext() {
+    @Test
+    void aLowReadingIsNoBoundForTheNext() {
         Bench b = new Bench().start().servers(8);
         burst(b, 10_000, 6);
         b.othersTook(4);
@@ -624,7 +671,8 @@
     }
 
     /** A wait that is shorter than usual is the rest of a deadline: past the aim, its answer is of no use. */
-    @Test void aTryThatHasWaitedPastItsAimTakesNothingFromAShortCustomer() {
+    @Test
+    void aTryThatHasWaitedPastItsAimTakesNothingFromAShortCustomer() {
         Bench b = new Bench().start().servers(8);
         for (int i = 0; i < 30; i++) {
             b.arrive(i, "read", "rate", "c");
@@ -642,7 +690,8 @@
         assertEquals(1, b.count("send 42"), "with a full store it takes nothing from others");
     }
 
-    @Test void aStaleReminderArmsNoFurtherOne() {
+    @Test
+    void aStaleReminderArmsNoFurtherOne() {
         Bench b = new Bench().start().servers(4);
         for (int i = 0; i < 200; i++) {
             b.arrive(i, "read", "big", "c");
@@ -653,7 +702,8 @@
         assertTrue(b.timers.size() <= 2, "timers out: " + b.timers.size());
     }
 
-    @Test void sameEventsGiveTheSameActions() {
+    @Test
+    void sameEventsGiveTheSameActions() {
         Bench one = new Bench();
         Bench two = new Bench();
         rate(one, OK, 3);
--- a/src/test/java/willowyoke/RampTest.java
+++ b/src/test/java/willowyoke/RampTest.java
@@ -1,6 +1,5 @@
 package willowyoke;
 
-
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -25,7 +24,7 @@
         return new Gateway.Rules(16, 250, 0.25, warmAfter, 3, 1000);
     }
 
-    private record Event(double at, long serial, Runnable what) { }
+    private record Event(double at, long serial, Runnable what) {}
 
     /** Modules on one clock before servers that queue; what each server was sent is kept. */
     private static final class Fleet {
@@ -33,7 +32,7 @@
         final Gateway.Rules rules;
         final Random random;
         final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
+                new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
         final Edge[] edges;
         final double[] weight;
         final Map<String, Place> places = new HashMap<>();
@@ -99,8 +98,10 @@
                     i++;
                 }
                 asked++;
-                edges[i].module.arrived(now, new Gateway.Request(serial++, "read", "any", "c" + serial % 50,
-                    90_000 / capacity, 1, 1, i, false));
+                edges[i].module.arrived(
+                        now,
+                        new Gateway.Request(
+                                serial++, "read", "any", "c" + serial % 50, 90_000 / capacity, 1, 1, i, false));
                 next();
             });
         }
@@ -154,8 +155,15 @@
             double sentAt = now;
             at(full ? now + 1 : p.free + 3000 / capacity, () -> {
                 served += full ? 0 : 1;
-                edge.module.ended(now, id, edge.tries.merge(id, 1, Integer::sum) - 1,
-                    full ? Gateway.Outcome.FULL : Gateway.Outcome.OK, now - sentAt, !full, 0, new double[0]);
+                edge.module.ended(
+                        now,
+                        id,
+                        edge.tries.merge(id, 1, Integer::sum) - 1,
+                        full ? Gateway.Outcome.FULL : Gateway.Outcome.OK,
+                        now - sentAt,
+                        !full,
+                        0,
+                        new double[0]);
             });
         }
     }
@@ -174,23 +182,47 @@
 
         Edge(Fleet fleet, int me) {
             this.fleet = fleet;
-            Gateway.RequestClass read = new Gateway.RequestClass("read", Gateway.Effect.SAFE,
-                Gateway.Group.ALL, 30_000 / fleet.capacity, 90_000 / fleet.capacity, 1, 0, 0, false);
-            module = new Decide(new Gateway.Settings(me, fleet.size, "z" + me % 3, 4, false, false, 1,
-                List.of(), List.of(read), List.of(new Gateway.Plan("any", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
-                new Gateway.Allowed(false, true, false, true, false, false, 3, 1000, 50), fleet.rules,
-                new Gateway.Prices(0.05, 0, 0, 0, 0)), fleet.random.nextLong(), fleet.now, this);
+            Gateway.RequestClass read = new Gateway.RequestClass(
+                    "read",
+                    Gateway.Effect.SAFE,
+                    Gateway.Group.ALL,
+                    30_000 / fleet.capacity,
+                    90_000 / fleet.capacity,
+                    1,
+                    0,
+                    0,
+                    false);
+            module = new Decide(
+                    new Gateway.Settings(
+                            me,
+                            fleet.size,
+                            "z" + me % 3,
+                            4,
+                            false,
+                            false,
+                            1,
+                            List.of(),
+                            List.of(read),
+                            List.of(new Gateway.Plan("any", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
+                            new Gateway.Allowed(false, true, false, true, false, false, 3, 1000, 50),
+                            fleet.rules,
+                            new Gateway.Prices(0.05, 0, 0, 0, 0)),
+                    fleet.random.nextLong(),
+                    fleet.now,
+                    this);
         }
 
         private boolean runs() {
             return module != null && Arrays.asList(fleet.edges).contains(this);
         }
 
-        @Override public void send(long id, String server, double until) {
+        @Override
+        public void send(long id, String server, double until) {
             fleet.sent(this, id, server);
         }
 
-        @Override public void timer(double delay, long token) {
+        @Override
+        public void timer(double delay, long token) {
             fleet.at(fleet.now + delay + 0.001, () -> {
                 if (runs()) {
                     module.timer(fleet.now, token);
@@ -198,20 +230,33 @@
             });
         }
 
-        @Override public void cancel(long id, int attempt) { }
+        @Override
+        public void cancel(long id, int attempt) {}
 
-        @Override public void refuse(long id, double retryAfter) { }
+        @Override
+        public void refuse(long id, double retryAfter) {}
 
-        @Override public void fail(long id) { }
+        @Override
+        public void fail(long id) {}
 
-        @Override public void probe(String server) { }
+        @Override
+        public void probe(String server) {}
 
-        @Override public void count(long name, double amount, double keepFor) { }
+        @Override
+        public void count(long name, double amount, double keepFor) {}
 
-        @Override public void subscribe() { }
+        @Override
+        public void subscribe() {}
     }
 
-    private enum Trouble { A_THIRD_COLD, ALL_COLD, ALL_BUT_ONE_COLD, BACK_ONE_BY_ONE, REST_LOST, PUT_BACK }
+    private enum Trouble {
+        A_THIRD_COLD,
+        ALL_COLD,
+        ALL_BUT_ONE_COLD,
+        BACK_ONE_BY_ONE,
+        REST_LOST,
+        PUT_BACK
+    }
 
     /** The trouble comes at 20 s, a burst of half as much again 2 s later. */
     private static Fleet play(Trouble trouble, int nodes, int servers, double capacity, boolean restarts) {
@@ -250,7 +295,8 @@
         return f;
     }
 
-    @ParameterizedTest @ValueSource(ints = {2, 5, 20, 30})
+    @ParameterizedTest
+    @ValueSource(ints = {2, 5, 20, 30})
     void allNodesTogetherKeepToWhatAColdServerBears(int nodes) {
         for (Trouble trouble : Trouble.values()) {
             for (int servers : new int[] {12, 36}) {
@@ -258,8 +304,9 @@
                     for (boolean restarts : new boolean[] {false, true}) {
                         Fleet f = play(trouble, nodes, servers, capacity, restarts);
                         f.to(36_000);
-                        String what = String.format("%s, %d servers of %.0f a second, %b: %.2f of it",
-                            trouble, servers, capacity, restarts, f.worst);
+                        String what = String.format(
+                                "%s, %d servers of %.0f a second, %b: %.2f of it",
+                                trouble, servers, capacity, restarts, f.worst);
                         assertTrue(f.worst > 0 && f.worst <= 1, what);
                     }
                 }
@@ -268,7 +315,8 @@
     }
 
     /** While others are quicker each node saves a send to each cold server: not to spend them all at once. */
-    @ParameterizedTest @ValueSource(doubles = {1, 12})
+    @ParameterizedTest
+    @ValueSource(doubles = {1, 12})
     void whatAllNodesHaveSavedIsNotSpentTogether(double capacity) {
         Fleet f = new Fleet(rules(60_000), 30, 24, capacity, 0.7);
         f.to(20_000);
@@ -280,7 +328,8 @@
         assertTrue(f.worst > 0 && f.worst <= 1, "of it: " + f.worst);
     }
 
-    @Test void itHoldsBeforeManyServersToo() {
+    @Test
+    void itHoldsBeforeManyServersToo() {
         for (Trouble trouble : List.of(Trouble.A_THIRD_COLD, Trouble.REST_LOST)) {
             Fleet f = play(trouble, 30, 300, 4, true);
             f.to(28_000);
@@ -289,14 +338,14 @@
     }
 
     /** Asked for three quarters of what they do warm; by the settings half after 4 s, all after 13. */
-    @ParameterizedTest @ValueSource(ints = {2, 5, 20, 30})
+    @ParameterizedTest
+    @ValueSource(ints = {2, 5, 20, 30})
     void aFleetThatIsBackColdIsUsed(int nodes) {
         Fleet f = play(Trouble.ALL_COLD, nodes, 12, 12, false);
         f.to(24_000);
         long asked = f.asked;
         long served = f.served;
         f.to(36_000);
-        assertTrue(f.served - served > 0.6 * (f.asked - asked),
-            f.served - served + " of " + (f.asked - asked));
+        assertTrue(f.served - served > 0.6 * (f.asked - asked), f.served - served + " of " + (f.asked - asked));
     }
 }
--- a/src/test/java/willowyoke/RulesTest.java
+++ b/src/test/java/willowyoke/RulesTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class RulesTest {
-    @Test void everyRequestGetsOneAnswerByItsDeadline() {
+    @Test
+    void everyRequestGetsOneAnswerByItsDeadline() {
         Bench b = Bench.plain().start().servers(2);
         b.arrive(1, "once", "big", "c");
         b.to(2015);
@@ -22,7 +23,8 @@
         assertEquals(1, b.count("fail 1") + b.count("refuse 1"));
     }
 
-    @Test void heldRequestIsRefusedWithNoServer() {
+    @Test
+    void heldRequestIsRefusedWithNoServer() {
         Bench b = Bench.plain().start();
         b.arrive(1, "once", "big", "c");
         b.to(2000);
@@ -30,7 +32,8 @@
         assertEquals(0, b.count("send"));
     }
 
-    @Test void unsafeIsRepeatedOnlyWhenItNeverRan() {
+    @Test
+    void unsafeIsRepeatedOnlyWhenItNeverRan() {
         Bench b = Bench.plain().start().servers(4);
         b.arrive(1, "once", "big", "c");
         b.end(1, 0, Gateway.Outcome.FULL);
@@ -41,7 +44,8 @@
         assertEquals(0, b.count("refuse 1"));
     }
 
-    @Test void keyedStaysInItsCellAndIsNotRefused() {
+    @Test
+    void keyedStaysInItsCellAndIsNotRefused() {
         Bench b = Bench.plain().start().servers(6);
         b.arrive(1, "cell", "big", "c");
         int first = Integer.parseInt(b.sentTo(1).substring(1));
@@ -54,7 +58,8 @@
         assertEquals(1, b.count("fail 1"));
     }
 
-    @Test void keyedStaysInItsZone() {
+    @Test
+    void keyedStaysInItsZone() {
         Bench b = Bench.plain().start().servers(4);
         b.arrive(1, "zone", "big", "c");
         int first = Integer.parseInt(b.sentTo(1).substring(1));
@@ -62,7 +67,8 @@
         assertEquals(first / 2 % 2, Integer.parseInt(b.sentTo(1).substring(1)) / 2 % 2);
     }
 
-    @Test void keyedIsNotSentAfterItsWindow() {
+    @Test
+    void keyedIsNotSentAfterItsWindow() {
         Bench b = Bench.plain().start().servers(4);
         b.copies = false;
         b.arrive(1, "all", "big", "c");
@@ -74,7 +80,8 @@
         assertEquals(before, b.count("send 1"), "the window of 400 ms has passed");
     }
 
-    @Test void neverTwoOutWhereCopiesAreForbidden() {
+    @Test
+    void neverTwoOutWhereCopiesAreForbidden() {
         Bench b = Bench.plain();
         b.copies = false;
         b.start().servers(4);
@@ -83,7 +90,8 @@
         assertEquals(1, b.count("send 1"));
     }
 
-    @Test void drainingServerGetsNothing() {
+    @Test
+    void drainingServerGetsNothing() {
         Bench b = Bench.plain().start().servers(2);
         b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.DRAINING, 0)), false);
         for (int i = 1; i <= 4; i++) {
@@ -94,7 +102,8 @@
         assertTrue(b.count("send") > 0);
     }
 
-    @Test void coldServerKeepsItsBudgetInEveryWindow() {
+    @Test
+    void coldServerKeepsItsBudgetInEveryWindow() {
         Bench b = Bench.plain().start().servers(2);
         b.now = 1000;
         b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.UP, 900)), false);
@@ -105,11 +114,14 @@
                 b.end(i - 40, 0, Gateway.Outcome.OK);
             }
         }
-        long toCold = b.log.stream().filter(l -> l.startsWith("send") && l.endsWith(" s0")).count();
+        long toCold = b.log.stream()
+                .filter(l -> l.startsWith("send") && l.endsWith(" s0"))
+                .count();
         assertTrue(toCold >= 1 && toCold <= 25, "a quarter is 50, half of them would be 25: " + toCold);
     }
 
-    @Test void aHundredGatewaysTogetherKeepTheColdBudget() {
+    @Test
+    void aHundredGatewaysTogetherKeepTheColdBudget() {
         int toCold = 0;
         for (int n = 0; n < 100; n++) {
             Bench b = Bench.plain();
@@ -131,7 +143,8 @@
         assertTrue(toCold > 0 && toCold < 60, "in 2 s a warm one gets 125, a fifth of it is 25: " + toCold);
     }
 
-    @Test void aServerThatFailsOneClassIsPassedOverForItAndServesTheOthers() {
+    @Test
+    void aServerThatFailsOneClassIsPassedOverForItAndServesTheOthers() {
         Bench b = Bench.plain().start().servers(2);
         for (int i = 0; i < 20; i++) {
             b.to(i * 200);
@@ -139,8 +152,8 @@
             for (int k = 0; k < 5 && b.sentTo(i).equals("s0") && b.count("send " + i + " ") == k + 1; k++) {
                 b.end(i, k, Gateway.Outcome.ERROR);
             }
-            b.module.ended(b.now, i, (int) b.count("send " + i + " ") - 1, Gateway.Outcome.OK, 75, true, 0,
-                new double[0]);
+            b.module.ended(
+                    b.now, i, (int) b.count("send " + i + " ") - 1, Gateway.Outcome.OK, 75, true, 0, new double[0]);
             b.arrive(100 + i, "once", "big", "c");
             b.module.ended(b.now, 100 + i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
         }
@@ -150,7 +163,8 @@
         assertTrue(others >= 5, "the other class is served there: " + others);
     }
 
-    @Test void anErrorOfASafeRequestIsTriedElsewhereHoweverManyFail() {
+    @Test
+    void anErrorOfASafeRequestIsTriedElsewhereHoweverManyFail() {
         Bench b = Bench.plain().start().servers(4);
         for (int i = 0; i < 30; i++) {
             b.to(i * 100);
@@ -163,7 +177,8 @@
         }
     }
 
-    @Test void lateAnswersOfAllServersSlowTheGatewayDownAndTimelyOnesBringItBack() {
+    @Test
+    void lateAnswersOfAllServersSlowTheGatewayDownAndTimelyOnesBringItBack() {
         Bench b = Bench.plain().start().servers(8);
         long sent = 0;
         for (int i = 0; i < 600; i++) {
@@ -181,18 +196,23 @@
         assertTrue(b.count("send") - sent > 90, "of 100: " + (b.count("send") - sent));
     }
 
-    @Test void ceilingStartsEmptyAndFillsAtTheEvenPart() {
+    @Test
+    void ceilingStartsEmptyAndFillsAtTheEvenPart() {
         Bench b = Bench.plain().start().servers(4);
         for (int i = 0; i < 100; i++) {
             b.to(i * 50);
             b.arrive(i, "read", "ceiling", "c");
         }
-        long sent = b.log.stream().filter(l -> l.startsWith("send")).map(l -> l.split(" ")[1])
-            .distinct().count();
+        long sent = b.log.stream()
+                .filter(l -> l.startsWith("send"))
+                .map(l -> l.split(" ")[1])
+                .distinct()
+                .count();
         assertTrue(sent >= 8 && sent <= 10, "2 a second for 5 s: " + sent);
     }
 
-    @Test void oddEventsDoNoHarm() {
+    @Test
+    void oddEventsDoNoHarm() {
         Bench b = Bench.plain().start();
         b.module.servers(0, List.of(), true);
         b.module.gone(0, 99);
@@ -206,7 +226,8 @@
     }
 
     /** One failed connect, or reset, is no restart: warm servers were sent as little as cold ones. */
-    @Test void oneFailedConnectDoesNotMakeAServerCold() {
+    @Test
+    void oneFailedConnectDoesNotMakeAServerCold() {
         for (Gateway.Outcome chance : List.of(Gateway.Outcome.NO_CONNECTION, Gateway.Outcome.RESET)) {
             Bench b = Bench.plain();
             b.nodes = 1; // or the first pace is the bound
@@ -222,9 +243,12 @@
         }
     }
 
-    @Test void moduleStandsInThePolicyFiles() throws Exception {
+    @Test
+    void moduleStandsInThePolicyFiles() throws Exception {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
+                .filter(l -> l.startsWith("policy = "))
+                .findFirst()
+                .orElseThrow();
         List<String> lines = new ArrayList<>();
         for (String file : policy.replaceAll("policy = |[\\[\\]\" ]", "").split(",")) {
             lines.addAll(Files.readAllLines(Path.of(file)));
--- a/src/test/java/willowyoke/SetBench.java
+++ b/src/test/java/willowyoke/SetBench.java
@@ -16,6 +16,7 @@
     private static final int NODES = 8200;
     /** 1.5 million requests a second over the nodes. */
     private static final double RATE = 183;
+
     private static final double WARM = 20_000;
     private static final double END = 80_000;
     private static final int CHANGES = 2000;
@@ -37,8 +38,15 @@
     }
 
     private static Gateway.Server server(int i, double startedAt) {
-        return new Gateway.Server("s-" + Integer.toHexString(0x10000000 + i * 0x9e3779b), i / 40,
-            new String("zone-" + i / 40 % 18), Gateway.State.UP, new String("m2"), startedAt, 1, i);
+        return new Gateway.Server(
+                "s-" + Integer.toHexString(0x10000000 + i * 0x9e3779b),
+                i / 40,
+                new String("zone-" + i / 40 % 18),
+                Gateway.State.UP,
+                new String("m2"),
+                startedAt,
+                1,
+                i);
     }
 
     private static double memory() {
@@ -78,8 +86,10 @@
             }
             asked += now >= WARM ? 1 : 0;
             to(at);
-            module.arrived(now, new Gateway.Request((long) (at * 1e3), "read", "big",
-                "c" + random.nextInt(3000), 2000, 1, 2, 0, false));
+            module.arrived(
+                    now,
+                    new Gateway.Request(
+                            (long) (at * 1e3), "read", "big", "c" + random.nextInt(3000), 2000, 1, 2, 0, false));
         }
         double request = (cpu() - from) / asked;
         from = cpu();
@@ -87,8 +97,8 @@
             now += 1;
             module.servers(now, List.of(server(random.nextInt(listed), i % 2 == 0 ? 0 : 1)), false);
         }
-        System.out.printf("%6d  %9.1f  %9.1f  %6.2f  %d/%d%n", listed, request, (cpu() - from) / CHANGES,
-            memory, sent, asked);
+        System.out.printf(
+                "%6d  %9.1f  %9.1f  %6.2f  %d/%d%n", listed, request, (cpu() - from) / CHANGES, memory, sent, asked);
     }
 
     /** Modules from before lists came in parts have none of these. */
@@ -131,25 +141,33 @@
         now = time;
     }
 
-    @Override public void send(long id, String server, double until) {
+    @Override
+    public void send(long id, String server, double until) {
         double took = 10 + 40 * random.nextDouble();
         sent++;
         ends.add(new double[] {now + took, id, took});
     }
 
-    @Override public void timer(double delay, long token) {
+    @Override
+    public void timer(double delay, long token) {
         timers.add(now + delay);
     }
 
-    @Override public void cancel(long id, int attempt) { }
+    @Override
+    public void cancel(long id, int attempt) {}
 
-    @Override public void refuse(long id, double retryAfter) { }
+    @Override
+    public void refuse(long id, double retryAfter) {}
 
-    @Override public void fail(long id) { }
+    @Override
+    public void fail(long id) {}
 
-    @Override public void probe(String server) { }
+    @Override
+    public void probe(String server) {}
 
-    @Override public void count(long name, double amount, double keepFor) { }
+    @Override
+    public void count(long name, double amount, double keepFor) {}
 
-    @Override public void subscribe() { }
+    @Override
+    public void subscribe() {}
 }
--- a/src/test/java/willowyoke/WorkingSetTest.java
+++ b/src/test/java/willowyoke/WorkingSetTest.java
@@ -26,7 +26,9 @@
     }
 
     private static List<Gateway.Server> servers(int from, int to, Gateway.State state, double startedAt) {
-        return IntStream.range(from, to).mapToObj(i -> Bench.server(i, state, startedAt)).toList();
+        return IntStream.range(from, to)
+                .mapToObj(i -> Bench.server(i, state, startedAt))
+                .toList();
     }
 
     private static Set<String> sentTo(Bench b) {
@@ -58,12 +60,14 @@
             long size = list.inBuckets(set.buckets(0, set.covered)).count();
             set.fit(250, 0, size);
             sizes[me] = (int) list.inBuckets(set.buckets(0, set.covered))
-                .mapToInt(s -> count[Integer.parseInt(s.id().substring(1))]++).count();
+                    .mapToInt(s -> count[Integer.parseInt(s.id().substring(1))]++)
+                    .count();
         }
         return count;
     }
 
-    @Test void everyServerHasAsManyNodesAsTheOthers() {
+    @Test
+    void everyServerHasAsManyNodesAsTheOthers() {
         for (int[] size : new int[][] {{8200, 200_000}, {8200, 3000}, {100, 2000}, {10, 5000}}) {
             int[] sizes = new int[size[0]];
             int[] count = nodesOf(size[0], size[1], sizes);
@@ -76,7 +80,8 @@
     }
 
     /** At 3,200 servers and 400 nodes sets of 80 are 10 buckets whole: with one size all would change. */
-    @Test void oneServerMoreOrLessChangesAFewSets() {
+    @Test
+    void oneServerMoreOrLessChangesAFewSets() {
         int changed = 0;
         for (int me = 0; me < 400; me++) {
             Bench b = node(me, 400, 3200);
@@ -92,7 +97,8 @@
     }
 
     /** A rack or a zone that is lost takes few nodes of each server with it. */
-    @Test void nodesOfOneServerAreNoNeighbours() {
+    @Test
+    void nodesOfOneServerAreNoNeighbours() {
         int close = 0;
         for (int me = 1; me < 8200; me++) {
             close += Math.abs(Ring.place(me, 8200) - Ring.place(me - 1, 8200)) <= 8 ? 1 : 0;
@@ -103,7 +109,8 @@
         for (int me = 0; me < 60; me += 2) {
             Set<String> mine = node(me, 400, 3000).kept;
             all += mine.size();
-            shared += (int) mine.stream().filter(node(me + 1, 400, 3000).kept::contains).count();
+            shared += (int)
+                    mine.stream().filter(node(me + 1, 400, 3000).kept::contains).count();
         }
         assertTrue(shared <= 0.15 * all, shared + " of " + all);
         boolean[] taken = new boolean[101];
@@ -113,7 +120,8 @@
         assertFalse(Arrays.toString(taken).contains("false"), "each has a place of its own");
     }
 
-    @Test void oneNodeMoreMovesASmallPart() {
+    @Test
+    void oneNodeMoreMovesASmallPart() {
         int kept = 0;
         int moved = 0;
         for (int me = 0; me < 100; me++) {
@@ -126,7 +134,8 @@
         assertTrue(moved <= 0.08 * kept, moved + " of " + kept);
     }
 
-    @Test void aRestartedNodeFindsItsSetAgain() {
+    @Test
+    void aRestartedNodeFindsItsSetAgain() {
         Bench b = node(7, 100, 2000);
         Set<String> first = Set.copyOf(b.kept);
         assertTrue(first.size() >= 50 && first.size() <= 150, "size " + first.size());
@@ -142,13 +151,15 @@
         assertEquals(first, b.kept);
     }
 
-    @Test void aShortListIsUsedWhole() {
+    @Test
+    void aShortListIsUsedWhole() {
         assertEquals(256, node(3, 8200, 256).kept.size());
         assertEquals(10, node(0, 3, 10).kept.size());
         assertEquals(5000, node(0, 1, 5000).kept.size(), "one node has them all");
     }
 
-    @Test void moreTrafficMeansMoreServersAtOnceAndFewerSlowly() {
+    @Test
+    void moreTrafficMeansMoreServersAtOnceAndFewerSlowly() {
         Bench b = node(7, 100, 2000);
         int first = b.kept.size();
         for (int id = 0; id < 4000; id++) { // 1,000 a second, of 75 ms each as is believed at first
@@ -164,7 +175,8 @@
         assertTrue(b.kept.size() <= 1.3 * first, "in the end: " + b.kept.size());
     }
 
-    @Test void whatIsTakenOutIsMadeUpForAndComesBackSlowly() {
+    @Test
+    void whatIsTakenOutIsMadeUpForAndComesBackSlowly() {
         Bench b = node(7, 100, 2000);
         Set<String> first = Set.copyOf(b.kept);
         first.stream().limit(first.size() * 2 / 3).forEach(s -> b.module.cordon(b.now, s, true));
@@ -179,12 +191,14 @@
     }
 
     /** A node that cannot reach half of its set has others at once, and none that drains. */
-    @Test void whatFailsOrDrainsIsMadeUpFor() {
+    @Test
+    void whatFailsOrDrainsIsMadeUpFor() {
         Bench b = node(7, 100, 2000);
         Set<String> first = new TreeSet<>(b.kept);
         List<Gateway.Server> drained = new ArrayList<>();
-        first.stream().limit(first.size() / 2).forEach(
-            s -> drained.add(Bench.server(Integer.parseInt(s.substring(1)), Gateway.State.DRAINING, 0)));
+        first.stream()
+                .limit(first.size() / 2)
+                .forEach(s -> drained.add(Bench.server(Integer.parseInt(s.substring(1)), Gateway.State.DRAINING, 0)));
         b.module.servers(b.now, drained, false);
         drained.forEach(s -> assertFalse(b.kept.contains(s.id())));
         b.to(b.now + 300);
@@ -200,14 +214,16 @@
         assertTrue(sentTo(b).stream().noneMatch(s -> drained.stream().anyMatch(d -> d.id().equals(s))));
     }
 
-    @Test void nothingIsSentToAServerThatIsNotKept() {
+    @Test
+    void nothingIsSentToAServerThatIsNotKept() {
         Bench b = node(7, 100, 2000);
         load(b, 0, 300);
         assertTrue(b.kept.containsAll(sentTo(b)));
         assertTrue(sentTo(b).size() > 30);
     }
 
-    @Test void whatIsOutThereMayEndBeforeAServerIsReleased() {
+    @Test
+    void whatIsOutThereMayEndBeforeAServerIsReleased() {
         Bench b = node(7, 100, 2000);
         b.arrive(1, "read", "big", "c");
         String server = b.sentTo(1);
@@ -220,7 +236,8 @@
         assertTrue(b.kept.contains(server));
     }
 
-    @Test void changesOfServersThatAreNotInTheSetCostTheHostNothing() {
+    @Test
+    void changesOfServersThatAreNotInTheSetCostTheHostNothing() {
         Bench b = node(7, 100, 2000);
         List<Gateway.Server> others = new ArrayList<>(servers(0, 100, Gateway.State.DRAINING, 0));
         others.removeIf(s -> b.kept.contains(s.id()));
@@ -235,7 +252,8 @@
         assertEquals(1, b.module.avoided(b.now), "only the one that is out by hand");
     }
 
-    @Test void aServerThatComesIntoTheSetIsColdOnlyIfItHasJustStarted() {
+    @Test
+    void aServerThatComesIntoTheSetIsColdOnlyIfItHasJustStarted() {
         for (double started : new double[] {0, 900}) {
             Bench b = node(7, 100, 2000);
             load(b, 0, 100);
@@ -248,7 +266,8 @@
         }
     }
 
-    @Test void aListInPartsDropsAtItsEndWhatItDidNotName() {
+    @Test
+    void aListInPartsDropsAtItsEndWhatItDidNotName() {
         Bench b = node(0, 2, 6);
         b.module.listBegins(b.now);
         b.module.servers(b.now, servers(0, 2, UP, 0), false);
@@ -265,7 +284,8 @@
     }
 
     /** The first parts of a long list look like a short one, which would be used whole. */
-    @Test void theFirstPartsOfALongListAreNotUsedWhole() {
+    @Test
+    void theFirstPartsOfALongListAreNotUsedWhole() {
         Bench b = node(7, 100, 0);
         b.start();
         b.to(600);
@@ -280,7 +300,8 @@
         assertEquals(node(7, 100, 2000).kept, b.kept);
     }
 
-    @Test void aRepeatThatHasToStayInACellFindsItsOtherServerOutsideTheSet() {
+    @Test
+    void aRepeatThatHasToStayInACellFindsItsOtherServerOutsideTheSet() {
         int repeated = 0;
         for (String type : List.of("cell", "zone")) {
             Bench b = node(7, 100, 2000);
@@ -300,8 +321,9 @@
                 String second = b.sentTo(id);
                 if (!second.equals(first)) {
                     int other = Integer.parseInt(second.substring(1));
-                    assertEquals(type.equals("cell") ? number / 2 : number / 2 % 2,
-                        type.equals("cell") ? other / 2 : other / 2 % 2);
+                    assertEquals(
+                            type.equals("cell") ? number / 2 : number / 2 % 2,
+                            type.equals("cell") ? other / 2 : other / 2 % 2);
                     repeated++;
                     assertTrue(b.kept.contains(second), "connected to for this");
                 }
--- a/src/test/java/willowyoke/net/AdminServerTest.java
+++ b/src/test/java/willowyoke/net/AdminServerTest.java
@@ -18,7 +18,8 @@
         return line;
     }
 
-    @Test void healthIsYesWhileClientsAreTaken() throws Exception {
+    @Test
+    void healthIsYesWhileClientsAreTaken() throws Exception {
         start();
         assertEquals(List.of("200", "takes clients\n"), admin(node, "GET", "/admin/health"));
         drained = true;
@@ -34,7 +35,8 @@
         draining.join();
     }
 
-    @Test void wrongCallsGetANo() throws Exception {
+    @Test
+    void wrongCallsGetANo() throws Exception {
         start();
         assertEquals("404", admin(node, "GET", "/").get(0));
         assertEquals("404", admin(node, "GET", "/admin/healthy").get(0));
@@ -55,7 +57,8 @@
     }
 
     /** A caller may end its own side behind the call; the second call on a connection is not heard. */
-    @Test void oneCallAConnection() throws Exception {
+    @Test
+    void oneCallAConnection() throws Exception {
         start();
         Peer.Line line = caller();
         line.write("GET /admin/health HTTP/1.1\r\n\r\nGET /admin/health HTTP/1.1\r\n\r\n");
@@ -64,7 +67,8 @@
     }
 
     /** Callers that send nothing or half a call hold neither the next call nor the sockets for long. */
-    @Test void idleAndHalfCallersGiveWay() throws Exception {
+    @Test
+    void idleAndHalfCallersGiveWay() throws Exception {
         start();
         List<Peer.Line> idle = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -80,7 +84,8 @@
         }
     }
 
-    @Test void withoutAnAddressThereIsNoDoor() throws Exception {
+    @Test
+    void withoutAnAddressThereIsNoDoor() throws Exception {
         Config config = Config.of(Json.read(config().replace("\"control\":\"127.0.0.1:0\",", "")), Map.of());
         assertNull(config.control());
         config = Config.of(Json.read(config()), Map.of("EDGE_CONTROL", "127.0.0.2:7000"));
--- a/src/test/java/willowyoke/net/BadClientTest.java
+++ b/src/test/java/willowyoke/net/BadClientTest.java
@@ -10,34 +10,60 @@
 /** Clients that send what cannot be read, say nothing, do not read, or come by hundreds. */
 class BadClientTest extends NodeFixture {
     /** Guards against crashes, hangs and unbounded buffers: -ERR, and a broken frame also closes. */
-    @Test void malformedInputGetsAnError() throws Exception {
+    @Test
+    void malformedInputGetsAnError() throws Exception {
         start();
         Peer.Line client = client();
         String call = "c=read,t=p,d=900,units=2,spread=3,first=1";
-        for (String list : new String[] {"c=read,t=p", "d", call.replace("900", "x"),
+        for (String list : new String[] {
+            "c=read,t=p",
+            "d",
+            call.replace("900", "x"),
             call.replace("900", "-1"),
-            call.replace("900", "NaN"), call.replace("900", "0x1p3"), call.replace("900", "1e30"),
-            call.replace("units=2", "units=-1"), call.replace("units=2", "units=1.5"),
-            call.replace("units=2", "units=NaN"), call.replace("units=2", "units=0x1p0"),
-            call.replace("units=2", "units=3"), call.replace("units=2", "units=99999999999"),
-            call.replace("spread=3", "spread=0"), call.replace("spread=3", "spread=5"),
-            call.replace("first=1", "first=4"), call.replace("first=1", "first=1e0"),
-            call.replace("read", "write"), call.replace("read", "write") + ",k=1"}) {
+            call.replace("900", "NaN"),
+            call.replace("900", "0x1p3"),
+            call.replace("900", "1e30"),
+            call.replace("units=2", "units=-1"),
+            call.replace("units=2", "units=1.5"),
+            call.replace("units=2", "units=NaN"),
+            call.replace("units=2", "units=0x1p0"),
+            call.replace("units=2", "units=3"),
+            call.replace("units=2", "units=99999999999"),
+            call.replace("spread=3", "spread=0"),
+            call.replace("spread=3", "spread=5"),
+            call.replace("first=1", "first=4"),
+            call.replace("first=1", "first=1e0"),
+            call.replace("read", "write"),
+            call.replace("read", "write") + ",k=1"
+        }) {
             client.command("CALL.GET", CUSTOMER, "01", list);
             assertTrue(client.message().get(0).startsWith("-ERR "), list);
         }
-        for (String[] words : new String[][] {{"GET", "x"}, {"CALL.GET"}, {"CALL.GET", CUSTOMER, call},
-            {"CALL.GET", CUSTOMER, "", call}, {"CALL.GET", "x".repeat(16), "01", call},
-            {"CALL.GET", "0000000200000000", "01", call}, {"CALL.GET", CUSTOMER, "01", call, "d", "e"},
-            {"CALL.POST", CUSTOMER, "01", call, "d"}, {"CALL.POST", CUSTOMER, "01", "c=write,t=p,d=900"}}) {
+        for (String[] words : new String[][] {
+            {"GET", "x"},
+            {"CALL.GET"},
+            {"CALL.GET", CUSTOMER, call},
+            {"CALL.GET", CUSTOMER, "", call},
+            {"CALL.GET", "x".repeat(16), "01", call},
+            {"CALL.GET", "0000000200000000", "01", call},
+            {"CALL.GET", CUSTOMER, "01", call, "d", "e"},
+            {"CALL.POST", CUSTOMER, "01", call, "d"},
+            {"CALL.POST", CUSTOMER, "01", "c=write,t=p,d=900"}
+        }) {
             client.command(words);
             assertTrue(client.message().get(0).startsWith("-ERR "), String.join(" ", words));
         }
         client.write("*4\r\n$8\r\nCALL.GET\r\n$-1\r\n*1\r\n+x\r\n:5\r\n");
         assertTrue(client.message().get(0).startsWith("-ERR "));
-        for (String broken : new String[] {"GET / HTTP/1.1\r\n\r\n", "*1\r\n$536870000\r\n", "*1\r\n$x\r\n",
-            "*2000000000\r\n", "*1\r\n$70000\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n$1\r\na\r\n",
-                "$3\r\nabcde"}) {
+        for (String broken : new String[] {
+            "GET / HTTP/1.1\r\n\r\n",
+            "*1\r\n$536870000\r\n",
+            "*1\r\n$x\r\n",
+            "*2000000000\r\n",
+            "*1\r\n$70000\r\n",
+            "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n$1\r\na\r\n",
+            "$3\r\nabcde"
+        }) {
             Peer.Line other = client();
             other.write(broken);
             assertTrue(other.message().get(0).startsWith("-ERR "), broken);
@@ -48,7 +74,8 @@
     }
 
     /** An app server could not tell two open requests of one id apart; a closed one's id is free again. */
-    @Test void anIdIsOpenOnce() throws Exception {
+    @Test
+    void anIdIsOpenOnce() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "hold", 400);
@@ -62,7 +89,8 @@
     }
 
     /** Its error would come after all that is open before it on the connection: that fails at once. */
-    @Test void aBrokenFrameIsNotLateBehindOpenCalls() throws Exception {
+    @Test
+    void aBrokenFrameIsNotLateBehindOpenCalls() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "hold", 60_000);
@@ -75,7 +103,8 @@
     }
 
     /** Silent ones and halves of commands filled the places of clients that ask; those that ask may stay. */
-    @Test void silenceAndHalfACommandAreEnded() throws Exception {
+    @Test
+    void silenceAndHalfACommandAreEnded() throws Exception {
         start();
         Peer.Line good = client();
         good.command("PING");
@@ -96,7 +125,8 @@
     }
 
     /** One that never reads kept the process from ending after SIGTERM. */
-    @Test void aClientThatNeverReadsDoesNotKeepTheNode() throws Exception {
+    @Test
+    void aClientThatNeverReadsDoesNotKeepTheNode() throws Exception {
         sockets = 1024;
         start();
         Peer.Line client = client();
@@ -115,7 +145,8 @@
     }
 
     /** Running out of descriptors would end accepting: an idle client makes room for a new one. */
-    @Test void manyClientsPushOutTheIdlest() throws Exception {
+    @Test
+    void manyClientsPushOutTheIdlest() throws Exception {
         sockets = 40;
         start();
         List<Peer.Line> lines = new ArrayList<>();
@@ -133,7 +164,8 @@
     }
 
     /** A head may take 2 s: in a crowd it was taken for one that never asks, and ended after 0.5 s. */
-    @Test void aSlowHeadIsTheLastToMakeRoom() throws Exception {
+    @Test
+    void aSlowHeadIsTheLastToMakeRoom() throws Exception {
         sockets = 40;
         start();
         Peer.Line slow = client();
@@ -151,7 +183,8 @@
     }
 
     /** A crowd that came all at once kept the next one out until each had been silent for 2.5 s. */
-    @Test void theNextIsTakenOnceSilentOnesHaveHadTheirTime() throws Exception {
+    @Test
+    void theNextIsTakenOnceSilentOnesHaveHadTheirTime() throws Exception {
         sockets = 40;
         start();
         List<Peer.Line> silent = new ArrayList<>();
--- a/src/test/java/willowyoke/net/CordonsTest.java
+++ b/src/test/java/willowyoke/net/CordonsTest.java
@@ -15,7 +15,8 @@
         return state.resolve("cordons-n0");
     }
 
-    @Test void aYesIsKeptAndANoIsNot() throws Exception {
+    @Test
+    void aYesIsKeptAndANoIsNot() throws Exception {
         start();
         assertEquals(List.of("200", "done\n"), admin(node, "POST", "/admin/cordon/s0"));
         expect("cordon s0");
@@ -36,14 +37,16 @@
     }
 
     /** The next process has it before its first attempt, and a file cut off anywhere keeps none back. */
-    @Test void theNextProcessReadsWhatIsKept() throws Exception {
+    @Test
+    void theNextProcessReadsWhatIsKept() throws Exception {
         Files.writeString(file(), "s0\ns1\ns-to");
         start("cordons [s0, s1]");
         assertEquals("200", admin(node, "POST", "/admin/uncordon/s0").get(0));
         assertEquals("s1\n", Files.readString(file()));
     }
 
-    @Test void noFileStopsAStart() throws Exception {
+    @Test
+    void noFileStopsAStart() throws Exception {
         Files.createDirectory(file()); // cannot be read, nor written
         start();
         assertEquals("503", admin(node, "POST", "/admin/cordon/s0").get(0));
@@ -51,7 +54,8 @@
     }
 
     /** A folder that could not be written for a while lost the call for the next process. */
-    @Test void whatCouldNotBeKeptIsKeptWhenTheFolderIsBack() throws Exception {
+    @Test
+    void whatCouldNotBeKeptIsKeptWhenTheFolderIsBack() throws Exception {
         Files.createDirectory(file());
         start();
         assertEquals("503", admin(node, "POST", "/admin/cordon/s0").get(0));
@@ -65,7 +69,8 @@
     }
 
     /** While a new version comes up each process hears what the other was told. */
-    @Test void whatAnotherProcessKeepsBindsThisOne() throws Exception {
+    @Test
+    void whatAnotherProcessKeepsBindsThisOne() throws Exception {
         start();
         Path next = state.resolve("next");
         Files.writeString(next, "s5\n");
@@ -76,7 +81,8 @@
     }
 
     /** Its idle connections end too: it is about to be restarted, and requests would find them dead. */
-    @Test void aServerThatIsOutKeepsNoIdleConnections() throws Exception {
+    @Test
+    void aServerThatIsOutKeepsNoIdleConnections() throws Exception {
         start();
         assertEquals("200", admin(node, "POST", "/admin/cordon/s0").get(0));
         assertTrue(server.ended());
