--- a/src/test/java/willowyoke/net/DescriptorTest.java
+++ b/src/test/java/willowyoke/net/DescriptorTest.java
@@ -27,9 +27,12 @@
     private static final int SOCKETS = 128;
     /** To the counter. */
     private static final int LINES = 4;
+
     private static final String CALL = "c=read,t=p,d=2000,units=1,spread=1,first=0";
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private final Peer discovery;
     private final Peer counter;
     private final Peer app;
@@ -53,17 +56,20 @@
               "family_info":{"shared_counter":false,"count_limit":80,"most_units":2},
               "limits":{"send_cap":2,"keepalive":15000,"connect_timeout":250},
               "request_classes":[{"name":"read","effect":"read_like","aim":600,"hard_limit":2000}],
-              "tariffs":[{"name":"p","per_second":80,"depth":80}]}}"""
-            .formatted(port, discovery.address(), told, counter.address(),
-                NodeFixture.list(41, true, NodeFixture.entry("s0", app.address(), "active")));
+              "tariffs":[{"name":"p","per_second":80,"depth":80}]}}""".formatted(
+                        port,
+                        discovery.address(),
+                        told,
+                        counter.address(),
+                        NodeFixture.list(41, true, NodeFixture.entry("s0", app.address(), "active")));
     }
 
     private static void watch(Peer.Line line, String list) throws Exception {
         while (!line.line().isEmpty()) {
             assertTrue(line.socket.isConnected());
         }
-        line.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-            + Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
+        line.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + Integer.toHexString(list.length() + 1)
+                + "\r\n" + list + "\n\r\n");
     }
 
     private static void daemon(Callable<?> what) {
@@ -108,20 +114,26 @@
         open.addAll(List.of(discovery, counter, app, other));
         Path file = Files.writeString(folder.resolve("config"), config(told));
         String path = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
-            .filter(p -> !p.matches(".*(junit|opentest4j|apiguardian|test-classes).*"))
-            .collect(Collectors.joining(File.pathSeparator)); // each is a descriptor
-        ProcessBuilder run = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + SOCKETS + " && exec '"
-            + ProcessHandle.current().info().command().orElseThrow() + "' -cp '" + path
-            + "' willowyoke.Main serve");
+                .filter(p -> !p.matches(".*(junit|opentest4j|apiguardian|test-classes).*"))
+                .collect(Collectors.joining(File.pathSeparator)); // each is a descriptor
+        ProcessBuilder run = new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "ulimit -n " + SOCKETS + " && exec '"
+                        + ProcessHandle.current().info().command().orElseThrow() + "' -cp '" + path
+                        + "' willowyoke.Main serve");
         run.environment().put("EDGE_CONFIG", file.toString());
-        run.environment().put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
-        Process node = run.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+        run.environment()
+                .put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
+        Process node =
+                run.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         open.add(node::destroyForcibly);
         return node;
     }
 
     /** All that clients may fill is filled while discovery is away and the counter breaks off. */
-    @Test void idleClientsLeaveRoomForTheNodesOwn() throws Exception {
+    @Test
+    void idleClientsLeaveRoomForTheNodesOwn() throws Exception {
         Process node = node(SOCKETS);
         try {
             Peer.Line watch = discovery.accept();
@@ -170,7 +182,8 @@
     }
 
     /** Told of more than the system gives: the first that found none left ended the loop, and so the node. */
-    @Test void withNoneLeftItComesBackByItself() throws Exception {
+    @Test
+    void withNoneLeftItComesBackByItself() throws Exception {
         Process node = node(1024);
         try {
             serve(app, new CountDownLatch(1));
@@ -201,7 +214,8 @@
         }
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         for (AutoCloseable each : open) {
             each.close();
         }
--- a/src/test/java/willowyoke/net/DiscoveryTest.java
+++ b/src/test/java/willowyoke/net/DiscoveryTest.java
@@ -33,20 +33,31 @@
 
     /** What becomes of a call. */
     private enum Way {
-        TELLS, NO_CONNECTION, NOT_UP, RESET, NO_ANSWER, HEAD, EMPTY_LINES, TRICKLE, HALF, REFUSAL,
-        REFUSAL_OPEN, NO_END
+        TELLS,
+        NO_CONNECTION,
+        NOT_UP,
+        RESET,
+        NO_ANSWER,
+        HEAD,
+        EMPTY_LINES,
+        TRICKLE,
+        HALF,
+        REFUSAL,
+        REFUSAL_OPEN,
+        NO_END
     }
 
     /** Between the empty lines of a watch (ms). */
     private static final double ALIVE = 2000;
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
     /** The node, the module's own pauses where lists are asked for, the network, and the agent behind it. */
     static final class World implements Discovery.Host, Discovery.Connector {
-        private record Task(double due, long number, Runnable what) { }
+        private record Task(double due, long number, Runnable what) {}
 
-        private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-            Comparator.comparingDouble(Task::due).thenComparingLong(Task::number));
+        private final PriorityQueue<Task> tasks =
+                new PriorityQueue<>(Comparator.comparingDouble(Task::due).thenComparingLong(Task::number));
         private final Map<EmbeddedChannel, Way> open = new LinkedHashMap<>();
         private final Random random = new Random(7);
         private final boolean asked;
@@ -57,6 +68,7 @@
         private Way way = Way.TELLS;
         /** What becomes of the next call alone, or null. */
         private Way once;
+
         private boolean news;
         private boolean silent;
         private double heard = Double.MAX_VALUE;
@@ -110,18 +122,18 @@
             }
         }
 
-        @Override public ChannelFuture connect(InetSocketAddress to, ChannelHandler handler) {
+        @Override
+        public ChannelFuture connect(InetSocketAddress to, ChannelHandler handler) {
             Way then = once == null ? way : once;
             once = null;
             if (then == Way.NO_CONNECTION || then == Way.NOT_UP) {
                 ChannelPromise promise = new EmbeddedChannel().newPromise();
-                after(then == Way.NOT_UP ? Discovery.CONNECT : 0,
-                    () -> promise.setFailure(new ConnectException()));
+                after(then == Way.NOT_UP ? Discovery.CONNECT : 0, () -> promise.setFailure(new ConnectException()));
                 return promise;
             }
             EmbeddedChannel c = new EmbeddedChannel(handler);
             open.put(c, then);
-            after(0, () -> { });
+            after(0, () -> {});
             return c.newSucceededFuture();
         }
 
@@ -172,55 +184,64 @@
                     keep(c, 50, "x");
                 }
                 case NO_END -> write(c, HEAD + chunk(NodeFixture.list(41, true)));
-                default -> { }
+                default -> {}
             }
         }
 
-        @Override public double now() {
+        @Override
+        public double now() {
             return now;
         }
 
-        @Override public Future<?> after(double delay, Runnable what) {
+        @Override
+        public Future<?> after(double delay, Runnable what) {
             tasks.add(new Task(now + Math.max(0, delay), number++, what));
             return null;
         }
 
-        @Override public void listed(List<Gateway.Server> list, boolean whole) {
+        @Override
+        public void listed(List<Gateway.Server> list, boolean whole) {
             if (list.stream().anyMatch(s -> s.id().equals("news"))) {
                 heard = now;
             }
         }
 
-        @Override public void listBegins() {
+        @Override
+        public void listBegins() {
             told.add("begins");
         }
 
-        @Override public void listEnds() {
+        @Override
+        public void listEnds() {
             told.add("ends");
         }
 
-        @Override public void say(String what) {
+        @Override
+        public void say(String what) {
             told.add(what.substring(0, "discovery: the list names more than 4".length()));
         }
 
         /** Where lists are asked for the module asks again too, after pauses of up to 12 s. */
-        @Override public void discoveryFailed() {
+        @Override
+        public void discoveryFailed() {
             if (asked) {
                 after(backoff * (0.5 + random.nextDouble()), discovery::subscribe);
                 backoff = Math.min(2 * backoff, 8000);
             }
         }
 
-        @Override public void flush() { }
+        @Override
+        public void flush() {}
 
-        @Override public void log(String where, Throwable what) { }
+        @Override
+        public void log(String where, Throwable what) {}
     }
 
     /** The time (ms) until news is heard: calls of one way for some time, one of another, then good ones. */
     private static double delay(boolean asked, Way before, double lasting, boolean moved, Way once) {
         World w = new World(asked);
         w.discovery.start(null);
-        w.after(0, () -> { });
+        w.after(0, () -> {});
         w.to(3000);
         w.way = before;
         if (before != Way.TELLS) {
@@ -240,7 +261,8 @@
         return w.heard - 3000 - lasting;
     }
 
-    @ParameterizedTest @ValueSource(booleans = {false, true})
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
     void newsIsHeardInTimeFromEveryState(boolean asked) {
         double worst = 0;
         String state = "";
@@ -261,12 +283,16 @@
     }
 
     private static String hosts(int number) {
-        return String.join(",", java.util.stream.IntStream.range(0, number)
-            .mapToObj(i -> NodeFixture.entry("h" + i, "127.0.0.1:9", "active")).toList());
+        return String.join(
+                ",",
+                java.util.stream.IntStream.range(0, number)
+                        .mapToObj(i -> NodeFixture.entry("h" + i, "127.0.0.1:9", "active"))
+                        .toList());
     }
 
     /** Only a list that has come to its end tells what is gone. */
-    @Test void aLongListThatBreaksOffDropsNothingAndIsAskedForAnew() {
+    @Test
+    void aLongListThatBreaksOffDropsNothingAndIsAskedForAnew() {
         World w = new World(false);
         w.hosts = hosts(2500);
         w.way = Way.HALF;
@@ -279,7 +305,8 @@
     }
 
     /** Ended by the old place, the new one's list would drop what it has yet to name. */
-    @Test void ofTwoLongListsTheLastBegunCounts() {
+    @Test
+    void ofTwoLongListsTheLastBegunCounts() {
         World w = new World(false);
         String list = NodeFixture.list(41, true, hosts(2500));
         int half = list.length() / 2;
@@ -299,7 +326,8 @@
     }
 
     /** Told once; the watch goes on from it, and what it names behind is heard. */
-    @Test void aListPastTheBoundOfMemoryIsToldOnceAndServedOnFrom() {
+    @Test
+    void aListPastTheBoundOfMemoryIsToldOnceAndServedOnFrom() {
         World w = new World(false);
         w.hosts = hosts(42_000);
         w.discovery.start(null);
--- a/src/test/java/willowyoke/net/EndTest.java
+++ b/src/test/java/willowyoke/net/EndTest.java
@@ -26,12 +26,14 @@
 class EndTest extends NodeFixture {
     /** More than the sockets' buffers hold. */
     private static final int CALLS = 110;
+
     private static final String VALUE = "v".repeat(64 * 1024);
 
     private final Set<String> seen = new HashSet<>();
 
     /** Where the module may not cancel, an attempt that waited for its connection was sent all the same. */
-    @Test void aRequestThatIsOverIsNotSentWhenItsConnectionComesUp() throws Exception {
+    @Test
+    void aRequestThatIsOverIsNotSentWhenItsConnectionComesUp() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 1500);
@@ -46,7 +48,8 @@
     }
 
     /** A counter that takes a connection and ends it without a word was called as fast as the loop went. */
-    @Test void aCounterThatEndsEachConnectionIsNotAskedWithoutAPause() throws Exception {
+    @Test
+    void aCounterThatEndsEachConnectionIsNotAskedWithoutAPause() throws Exception {
         start();
         int came = 0;
         long until = System.nanoTime() + 1_000_000_000L;
@@ -61,7 +64,8 @@
     }
 
     /** Connections made ahead, one for each server of a list, took the descriptors of all others. */
-    @Test void connectionsMadeAheadStayWithinTheServersPart() throws Exception {
+    @Test
+    void connectionsMadeAheadStayWithinTheServersPart() throws Exception {
         sockets = 40;
         start();
         String[] hosts = new String[14];
@@ -78,16 +82,17 @@
     }
 
     /** The bind came after the end: it failed, or let clients in whom nobody was left to answer. */
-    @Test void whoIsToldToEndDuringItsStartDoesNotListen() throws Exception {
+    @Test
+    void whoIsToldToEndDuringItsStartDoesNotListen() throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
             listen = free.getLocalPort();
         }
         Script script = new Script();
-        node = new Node(Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         FutureTask<Void> starting = new FutureTask<>(() -> {
             node.start();
             return null;
@@ -102,7 +107,8 @@
     }
 
     /** A loop that was late closed the listener over clients that had connected meanwhile. */
-    @Test void whoHasConnectedIsAnsweredThoughTheLoopIsLate() throws Exception {
+    @Test
+    void whoHasConnectedIsAnsweredThoughTheLoopIsLate() throws Exception {
         start();
         new Handover(state, "n0").claim(); // the end begins at once
         Peer.Line first = client();
@@ -134,7 +140,8 @@
     }
 
     /** A client that rests until it is ended may send in that moment: it asks once more elsewhere. */
-    @Test void whatComesBehindTheEndIsNotTaken() throws Exception {
+    @Test
+    void whatComesBehindTheEndIsNotTaken() throws Exception {
         start();
         Peer.Line resting = client();
         resting.command("PING");
@@ -150,8 +157,8 @@
 
     private static String refused(String id) {
         String list = "c=refuse,t=p,d=900,units=2,spread=3,first=1";
-        return "*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n" + id + "\r\n$" + list.length()
-            + "\r\n" + list + "\r\n";
+        return "*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n" + id + "\r\n$" + list.length() + "\r\n"
+                + list + "\r\n";
     }
 
     private Thread drainBesideANewProcess() {
@@ -166,7 +173,8 @@
     }
 
     /** The first one's answer ended the connection, over a second one that had been read with it. */
-    @Test void commandsThatCameTogetherInAShutdownAreAllAnswered() throws Exception {
+    @Test
+    void commandsThatCameTogetherInAShutdownAreAllAnswered() throws Exception {
         start();
         Peer.Line client = client();
         client.command("PING");
@@ -181,7 +189,8 @@
     }
 
     /** Its rest came to a process that had gone: whether it had been taken, nobody could tell. */
-    @Test void halfACommandIsToldOfTheEndOfTheProcess() throws Exception {
+    @Test
+    void halfACommandIsToldOfTheEndOfTheProcess() throws Exception {
         start();
         Peer.Line client = client();
         client.command("PING");
@@ -194,7 +203,8 @@
     }
 
     /** It was taken past the bound of the shutdown, and open when the kill came. */
-    @Test void whatComesWhenAllHadToBeAnsweredIsRefusedAtOnce() throws Exception {
+    @Test
+    void whatComesWhenAllHadToBeAnsweredIsRefusedAtOnce() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 20_000);
@@ -214,7 +224,8 @@
     }
 
     /** Closed over bytes that had not been read, its connection was reset. */
-    @Test void whoMakesRoomIsEndedAndNotReset() throws Exception {
+    @Test
+    void whoMakesRoomIsEndedAndNotReset() throws Exception {
         assumeTrue(Epoll.isAvailable()); // what came first is told first
         sockets = 40;
         start();
@@ -242,7 +253,7 @@
         if (seen.contains(text)) {
             return;
         }
-        for (String next = ""; !next.equals(text);) {
+        for (String next = ""; !next.equals(text); ) {
             next = told.poll(10, TimeUnit.SECONDS);
             assertNotNull(next, text);
             seen.add(next);
@@ -279,7 +290,8 @@
     }
 
     /** All its answers are written: it was as idle as any, and cut off. */
-    @Test void aSlowReaderDoesNotMakeRoom() throws Exception {
+    @Test
+    void aSlowReaderDoesNotMakeRoom() throws Exception {
         sockets = 450;
         start();
         Peer.Line slow = smallWindow();
@@ -295,7 +307,8 @@
     }
 
     /** The end that tells of it took the answers before it along, at once or 2 s later. */
-    @Test void aValueThatBreaksOffLeavesTheAnswersBeforeItWhole() throws Exception {
+    @Test
+    void aValueThatBreaksOffLeavesTheAnswersBeforeItWhole() throws Exception {
         sockets = 450;
         start();
         Peer.Line slow = smallWindow();
--- a/src/test/java/willowyoke/net/EventLogTest.java
+++ b/src/test/java/willowyoke/net/EventLogTest.java
@@ -21,12 +21,14 @@
         return lines;
     }
 
-    @Test void beforeAShutdownEventsAreKeptAndNotWritten() {
+    @Test
+    void beforeAShutdownEventsAreKeptAndNotWritten() {
         log.add(1000.7, new Event.Abandoned("01"));
         assertEquals(List.of(), lines());
     }
 
-    @Test void inAShutdownEventsAreWrittenAsTheyHappen() {
+    @Test
+    void inAShutdownEventsAreWrittenAsTheyHappen() {
         log.writeAll();
         log.add(1000.7, new Event.State(Phase.DRAINING, 2907.6));
         log.add(1001, new Event.Taken("01", "read", 7, 350.4, 2, 1500));
@@ -35,23 +37,28 @@
         log.add(1004, new Event.Answered("01", Metrics.Outcome.FAULTED, Gateway.EndReason.DEADLINE));
         log.add(1005, new Event.ClientClosed(7, CloseReason.SHUTDOWN_ANSWERED, 360, 3, 0));
         log.add(1006, new Event.ServerClosed("s0", CloseReason.ATTEMPT_GIVEN_UP));
-        assertEquals(List.of("t=1000 state to=DRAINING answers_due_in=2908",
-            "t=1001 taken request=01 class=read connection=7 age=350 commands_before=2 wait=1500",
-            "t=1002 sent request=01 attempt=1 server=s0 retry_after=RESET",
-            "t=1003 ended request=01 attempt=1 server=s0 outcome=TIMEOUT took=12",
-            "t=1004 answered request=01 outcome=FAULTED reason=DEADLINE",
-            "t=1005 client_closed connection=7 reason=SHUTDOWN_ANSWERED age=360 commands=3 unanswered=0",
-            "t=1006 server_closed server=s0 reason=ATTEMPT_GIVEN_UP"), lines());
+        assertEquals(
+                List.of(
+                        "t=1000 state to=DRAINING answers_due_in=2908",
+                        "t=1001 taken request=01 class=read connection=7 age=350 commands_before=2 wait=1500",
+                        "t=1002 sent request=01 attempt=1 server=s0 retry_after=RESET",
+                        "t=1003 ended request=01 attempt=1 server=s0 outcome=TIMEOUT took=12",
+                        "t=1004 answered request=01 outcome=FAULTED reason=DEADLINE",
+                        "t=1005 client_closed connection=7 reason=SHUTDOWN_ANSWERED age=360 commands=3 unanswered=0",
+                        "t=1006 server_closed server=s0 reason=ATTEMPT_GIVEN_UP"),
+                lines());
     }
 
-    @Test void whatLedToAnEventIsToldOfItsRequestAlone() {
+    @Test
+    void whatLedToAnEventIsToldOfItsRequestAlone() {
         log.add(1, new Event.Abandoned("01"));
         log.add(2, new Event.Abandoned("02"));
         log.explain("02");
         assertEquals(List.of("t=2 abandoned request=02"), lines());
     }
 
-    @Test void theMemoryIsBounded() {
+    @Test
+    void theMemoryIsBounded() {
         for (int i = 0; i < 10_000; i++) {
             log.add(i, new Event.Abandoned("01"));
         }
@@ -61,7 +68,8 @@
         assertEquals("t=9999 abandoned request=01", lines.get(255));
     }
 
-    @Test void soManyLinesAndNoMoreAreWritten() {
+    @Test
+    void soManyLinesAndNoMoreAreWritten() {
         log.writeAll();
         for (int i = 0; i < 10_000; i++) {
             log.add(i, new Event.Abandoned("01"));
--- a/src/test/java/willowyoke/net/GoneTest.java
+++ b/src/test/java/willowyoke/net/GoneTest.java
@@ -30,11 +30,13 @@
         start();
     }
 
-    @AfterEach void transport() {
+    @AfterEach
+    void transport() {
         Transport.epoll = Epoll.isAvailable();
     }
 
-    @Override String config() {
+    @Override
+    String config() {
         return super.config().replace("\"connect_timeout\":250", "\"connect_timeout\":60000");
     }
 
@@ -59,7 +61,8 @@
     }
 
     /** Under NIO the end was seen when reading went on, which was at the deadlines. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void whileMoreIsUnansweredThanIsTaken(boolean epoll) throws Exception {
         start(epoll);
         Peer.Line client = full();
@@ -71,7 +74,8 @@
         assertEquals(List.of("-BUSY 1500"), other.message());
     }
 
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void whileMoreIsUnreadThanIsKept(boolean epoll) throws Exception {
         start(epoll);
         Peer.Line client = full();
@@ -81,7 +85,8 @@
     }
 
     /** What is held back is taken in its order, and all of it, once there is room. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void aClientThatStaysLosesNothing(boolean epoll) throws Exception {
         start(epoll);
         Peer.Line client = client();
@@ -99,15 +104,15 @@
         }
     }
 
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void whileAllClientsAreHeldForMemory(boolean epoll) throws Exception {
         start(epoll);
         Peer.Line big = client();
         String body = "x".repeat(64 * 1024);
         int bodies = 128; // 64 KB and a head each: over 8 MB
         for (int i = 1; i <= bodies; i++) {
-            big.command("CALL.POST", CUSTOMER, "b" + i, "c=hold,t=p,d=" + LONG + ",units=2,spread=3,first=1",
-                body);
+            big.command("CALL.POST", CUSTOMER, "b" + i, "c=hold,t=p,d=" + LONG + ",units=2,spread=3,first=1", body);
             arrived(i, "hold");
         }
         Peer.Line client = client();
@@ -123,7 +128,8 @@
     }
 
     /** An attempt stayed in line for a connection that does not come up, to its time-out. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void whileItsConnectionDoesNotComeUp(boolean epoll) throws Exception {
         start(epoll);
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -142,7 +148,8 @@
     }
 
     /** Of ends that come together the first gave its turn to a client whose own was not told yet. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void inABurst(boolean epoll) throws Exception {
         start(epoll);
         sendAfter = 1;
@@ -167,7 +174,8 @@
     }
 
     /** Accepted late, read late: a command that comes with its client's end was sent on. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void beforeItsCommandWasRead(boolean epoll) throws Exception {
         start(epoll);
         Peer.Line busy = client();
--- a/src/test/java/willowyoke/net/HandoverTest.java
+++ b/src/test/java/willowyoke/net/HandoverTest.java
@@ -13,7 +13,8 @@
 /** A second process of the same edge node comes up beside the first, and takes its place. */
 class HandoverTest extends NodeFixture {
     /** The second could not bind; the first ended connections with requests on them. */
-    @Test void theNewOneTakesClientsWhileTheOldOneFinishes() throws Exception {
+    @Test
+    void theNewOneTakesClientsWhileTheOldOneFinishes() throws Exception {
         start();
         Node old = node;
         Peer.Line before = client();
@@ -49,7 +50,8 @@
         assertEquals("200", admin(node, "GET", "/admin/health").get(0));
     }
 
-    @Test void aProcessKnowsWhetherAnotherHasTakenItsPlace() throws Exception {
+    @Test
+    void aProcessKnowsWhetherAnotherHasTakenItsPlace() throws Exception {
         Path folder = state;
         Handover first = new Handover(folder, "n0");
         assertFalse(first.succeeded(), "no file yet");
@@ -68,7 +70,8 @@
     }
 
     /** The two share one limit on sockets: the new one leaves the old one's connections their places. */
-    @Test void theNewOneTakesFewClientsAtFirst() throws Exception {
+    @Test
+    void theNewOneTakesFewClientsAtFirst() throws Exception {
         sockets = 40;
         new Handover(state, "n0").claim();
         start();
--- a/src/test/java/willowyoke/net/IdleLimitTest.java
+++ b/src/test/java/willowyoke/net/IdleLimitTest.java
@@ -12,7 +12,8 @@
         }
     }
 
-    @Test void anAgeAtWhichConnectionsAreFoundDeadIsGivenUpAndAllOlder() {
+    @Test
+    void anAgeAtWhichConnectionsAreFoundDeadIsGivenUpAndAllOlder() {
         IdleLimit limit = new IdleLimit();
         use(limit, 30, 100, 4);
         use(limit, 150, 20, 10);
@@ -21,7 +22,8 @@
         assertFalse(limit.allows(5000));
     }
 
-    @Test void resetsThatNewConnectionsSeeTooAreNoReason() {
+    @Test
+    void resetsThatNewConnectionsSeeTooAreNoReason() {
         IdleLimit limit = new IdleLimit();
         for (int i = 0; i < 100; i++) {
             limit.usedNew(i % 5 == 0);
@@ -30,13 +32,15 @@
         assertTrue(limit.allows(5000));
     }
 
-    @Test void aFewResetsMayBeChance() {
+    @Test
+    void aFewResetsMayBeChance() {
         IdleLimit limit = new IdleLimit();
         use(limit, 150, 2, 2);
         assertTrue(limit.allows(150));
     }
 
-    @Test void anAgeIsTriedAgainOnceWhatWasSeenIsOld() {
+    @Test
+    void anAgeIsTriedAgainOnceWhatWasSeenIsOld() {
         IdleLimit limit = new IdleLimit();
         use(limit, 150, 10, 10);
         assertFalse(limit.allows(150));
--- a/src/test/java/willowyoke/net/KeptServersTest.java
+++ b/src/test/java/willowyoke/net/KeptServersTest.java
@@ -13,7 +13,8 @@
         return new Gateway.Server(id, 3, "a", state, "m", 0, 1, Config.dial(at.address()));
     }
 
-    @Test void aReleaseEndsWhatIsIdleAndLeavesWhatIsOut() throws Exception {
+    @Test
+    void aReleaseEndsWhatIsIdleAndLeavesWhatIsOut() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 2000);
@@ -37,9 +38,11 @@
         app.accept();
     }
 
-    @Test void aServerThatIsListedAndNotUsedHasNoConnection() throws Exception {
+    @Test
+    void aServerThatIsListedAndNotUsedHasNoConnection() throws Exception {
         start();
-        try (Peer other = new Peer(); Peer used = new Peer()) {
+        try (Peer other = new Peer();
+                Peer used = new Peer()) {
             node.later(() -> {
                 node.listed(List.of(server("s1", other, Gateway.State.DRAINING)), false);
                 node.listed(List.of(server("s2", used, Gateway.State.UP)), false);
@@ -50,7 +53,8 @@
         }
     }
 
-    @Test void aListInPartsEndsConnectionsAtItsEndAndNoSooner() throws Exception {
+    @Test
+    void aListInPartsEndsConnectionsAtItsEndAndNoSooner() throws Exception {
         start();
         try (Peer other = new Peer()) {
             node.later(() -> {
@@ -78,7 +82,8 @@
         }
     }
 
-    @Test void addressesAreKeptInOneNumber() {
+    @Test
+    void addressesAreKeptInOneNumber() {
         for (String address : List.of("10.1.0.18:6379", "255.255.255.255:65535", "0.0.0.1:1")) {
             assertEquals(Config.address(address), Config.address(Config.dial(address)));
         }
--- a/src/test/java/willowyoke/net/LargeBodyTest.java
+++ b/src/test/java/willowyoke/net/LargeBodyTest.java
@@ -20,8 +20,8 @@
     }
 
     private static void head(Peer.Line client, String id, String list, int length) throws Exception {
-        client.write("*5\r\n$9\r\nCALL.POST\r\n$16\r\n" + CUSTOMER + "\r\n$" + id.length() + "\r\n" + id
-            + "\r\n$" + list.length() + "\r\n" + list + "\r\n$" + length + "\r\n");
+        client.write("*5\r\n$9\r\nCALL.POST\r\n$16\r\n" + CUSTOMER + "\r\n$" + id.length() + "\r\n" + id + "\r\n$"
+                + list.length() + "\r\n" + list + "\r\n$" + length + "\r\n");
     }
 
     private static void value(Peer.Line client, int from, int to) throws Exception {
@@ -45,7 +45,8 @@
         assertArrayEquals(java.util.Arrays.copyOf(VALUE, FIRST), server.in.readNBytes(FIRST));
     }
 
-    @Test void aLargeValueReachesTheServerWhileItStillComes() throws Exception {
+    @Test
+    void aLargeValueReachesTheServerWhileItStillComes() throws Exception {
         start();
         Peer.Line client = client();
         begin(client);
@@ -59,8 +60,7 @@
             }
         });
         rest.start();
-        assertArrayEquals(java.util.Arrays.copyOfRange(VALUE, FIRST, LARGE),
-            server.in.readNBytes(LARGE - FIRST));
+        assertArrayEquals(java.util.Arrays.copyOfRange(VALUE, FIRST, LARGE), server.in.readNBytes(LARGE - FIRST));
         assertEquals("", server.line());
         rest.join();
         server.value("done");
@@ -74,7 +74,8 @@
     }
 
     /** What has gone out with the first attempt is not there for a second one; and nothing has run. */
-    @Test void aValueHalfSentIsNotSentAgain() throws Exception {
+    @Test
+    void aValueHalfSentIsNotSentAgain() throws Exception {
         start();
         Peer.Line client = client();
         begin(client);
@@ -88,7 +89,8 @@
         assertNull(app.poll(100));
     }
 
-    @Test void aClientThatLeavesLeavesHalfACommandThatNeverRuns() throws Exception {
+    @Test
+    void aClientThatLeavesLeavesHalfACommandThatNeverRuns() throws Exception {
         start();
         Peer.Line client = client();
         begin(client);
@@ -99,7 +101,8 @@
     }
 
     /** Held for quotas or servers: no more than the first part is read meanwhile. */
-    @Test void aValueThatNoServerTakesIsNotReadOn() throws Exception {
+    @Test
+    void aValueThatNoServerTakesIsNotReadOn() throws Exception {
         start();
         Peer.Line client = client();
         head(client, "01", list("hold").replace("5000", "700"), LARGE);
@@ -119,7 +122,8 @@
         assertEquals(List.of("-BUSY 1500"), client.message());
     }
 
-    @Test void aValueThatStopsComingIsEnded() throws Exception {
+    @Test
+    void aValueThatStopsComingIsEnded() throws Exception {
         start();
         Peer.Line before = client();
         head(before, "02", list("write"), LARGE);
@@ -135,7 +139,8 @@
     }
 
     /** The value of a command that is refused at its head is read and dropped. */
-    @Test void wrongCommandsWithLargeValues() throws Exception {
+    @Test
+    void wrongCommandsWithLargeValues() throws Exception {
         start();
         Peer.Line client = client();
         head(client, "01", "c=write,t=p", FIRST);
@@ -149,8 +154,9 @@
         get(client, "02", "refuse", 900);
         assertEquals(List.of("-BUSY 1500"), client.message());
         String four = "$1\r\na\r\n".repeat(4);
-        for (String bad : new String[] {"*5\r\n$1\r\na\r\n$70000\r\n", "*4\r\n" + four + "$70000\r\n",
-            "*5\r\n" + four + "$4194305\r\n"}) {
+        for (String bad : new String[] {
+            "*5\r\n$1\r\na\r\n$70000\r\n", "*4\r\n" + four + "$70000\r\n", "*5\r\n" + four + "$4194305\r\n"
+        }) {
             Peer.Line other = client();
             other.write(bad);
             String answer = other.message().get(0);
--- a/src/test/java/willowyoke/net/LargeValueTest.java
+++ b/src/test/java/willowyoke/net/LargeValueTest.java
@@ -36,7 +36,8 @@
         write(line, value, 0, FIRST);
     }
 
-    @Test void aLargeValueReachesTheClientWhileItStillComes() throws Exception {
+    @Test
+    void aLargeValueReachesTheClientWhileItStillComes() throws Exception {
         start();
         Peer.Line client = client();
         byte[] value = bytes(LARGE);
@@ -63,12 +64,12 @@
         assertEquals("02", server.message().get(2));
         server.value("small");
         assertEquals(List.of("small"), client.message());
-        assertTrue(admin(node, "GET", "/admin/stats").get(1)
-            .contains("{priority=\"read\",status=\"fulfilled\"} 2\n"));
+        assertTrue(admin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"fulfilled\"} 2\n"));
     }
 
     /** What has begun cannot be taken back: an end is all that tells the client it is not whole. */
-    @Test void aValueThatBreaksOffEndsTheClientsConnection() throws Exception {
+    @Test
+    void aValueThatBreaksOffEndsTheClientsConnection() throws Exception {
         start();
         Peer.Line client = client();
         byte[] value = bytes(LARGE);
@@ -77,12 +78,12 @@
         server.close();
         client.in.readNBytes(FIRST);
         assertTrue(client.ended());
-        assertTrue(admin(node, "GET", "/admin/stats").get(1)
-            .contains("{priority=\"read\",status=\"faulted\"} 1\n"));
+        assertTrue(admin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"faulted\"} 1\n"));
     }
 
     /** Before its turn nothing of it has gone out: the call fails, and the connection goes on. */
-    @Test void aValueThatBreaksOffBeforeItsTurnFails() throws Exception {
+    @Test
+    void aValueThatBreaksOffBeforeItsTurnFails() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 5000);
@@ -98,8 +99,7 @@
         write(line, value, 0, 1000);
         expect("ended 2 0 OK true");
         line.close();
-        while (!admin(node, "GET", "/admin/stats").get(1)
-            .contains("{priority=\"read\",status=\"faulted\"} 1\n")) {
+        while (!admin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"faulted\"} 1\n")) {
             Thread.onSpinWait();
         }
         server.value("one");
@@ -110,7 +110,8 @@
     }
 
     /** A client that leaves in the middle frees the server's connection, which is of no more use. */
-    @Test void aClientThatLeavesEndsTheStream() throws Exception {
+    @Test
+    void aClientThatLeavesEndsTheStream() throws Exception {
         start();
         Peer.Line client = client();
         begin(client, 1, server, bytes(LARGE));
@@ -121,7 +122,8 @@
     }
 
     /** Many readers that take nothing: far more than the memory of a node is on its way. */
-    @Test void clientsThatDoNotReadHoldTheServersBack() throws Exception {
+    @Test
+    void clientsThatDoNotReadHoldTheServersBack() throws Exception {
         sockets = 512;
         start();
         byte[] value = bytes(LARGE);
@@ -156,7 +158,8 @@
     }
 
     /** It was cut off a quarter of a second after its first byte, though it was still coming. */
-    @Test void aSmallAnswerInSlowPiecesIsWaitedFor() throws Exception {
+    @Test
+    void aSmallAnswerInSlowPiecesIsWaitedFor() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 5000);
@@ -171,7 +174,8 @@
         assertEquals(List.of("0123456789"), client.message());
     }
 
-    @Test void noValueIsLargerThanTheProtocolAllows() throws Exception {
+    @Test
+    void noValueIsLargerThanTheProtocolAllows() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 5000);
--- a/src/test/java/willowyoke/net/ListReaderTest.java
+++ b/src/test/java/willowyoke/net/ListReaderTest.java
@@ -24,31 +24,45 @@
     private final List<String> told = new ArrayList<>();
     private ListReader reader = new ListReader(this, MOST);
 
-    @Override public void begins() {
+    @Override
+    public void begins() {
         told.add("begins");
     }
 
-    @Override public void take(List<Gateway.Server> servers, boolean whole) {
+    @Override
+    public void take(List<Gateway.Server> servers, boolean whole) {
         if (servers.size() > 5) {
             told.add((whole ? "whole " : "changes ") + servers.size());
             return;
         }
         StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
-        servers.forEach(s -> text.append(' ').append(s.id()).append('=').append(s.state()).append(s.cell())
-            .append(s.zone()).append(s.kind()).append((long) s.startedAt()).append('/').append(s.weight())
-            .append('@').append(s.dial()));
+        servers.forEach(s -> text.append(' ')
+                .append(s.id())
+                .append('=')
+                .append(s.state())
+                .append(s.cell())
+                .append(s.zone())
+                .append(s.kind())
+                .append((long) s.startedAt())
+                .append('/')
+                .append(s.weight())
+                .append('@')
+                .append(s.dial()));
         told.add(text.toString());
     }
 
-    @Override public void ends(double seq, boolean whole, boolean drops) {
+    @Override
+    public void ends(double seq, boolean whole, boolean drops) {
         told.add("ends " + seq + (whole ? " whole" : "") + (drops ? " drops" : ""));
     }
 
-    @Override public void spoilt(Exception what) {
+    @Override
+    public void spoilt(Exception what) {
         told.add("spoilt");
     }
 
-    @Override public void tooLong(int most) {
+    @Override
+    public void tooLong(int most) {
         told.add("longer than " + most);
     }
 
@@ -64,20 +78,30 @@
     }
 
     private static String hosts(int number) {
-        return String.join(",", IntStream.range(0, number).mapToObj(ListReaderTest::host).toList());
+        return String.join(
+                ",", IntStream.range(0, number).mapToObj(ListReaderTest::host).toList());
     }
 
-    @Test void allFormsAreOneListHoweverTheyAreCut() throws Exception {
+    @Test
+    void allFormsAreOneListHoweverTheyAreCut() throws Exception {
         String entry = "{'zone':{'host':'x','a':[1,{'dial':[]}]},'host':'h0','dial':'1.2.3.4:5','site':'a',"
-            + "'class':'m','block':3,'health':'%s','share':0.5,'born_ms':7,'host2':null}";
+                + "'class':'m','block':3,'health':'%s','share':0.5,'born_ms':7,'host2':null}";
         long dial = 0x01020304_0005L;
         String up = " h0=UP3am7/0.5@" + dial;
         String text = ("\r\n {'hosts':[" + entry.formatted("active") + ",5,null,[[]],{'host':'h1'},"
-            + entry.formatted("left") + "],\n  'more':{'hosts':[{}],'seq':9},'seq':42,'whole':true}{'seq':43,"
-            + "'hosts' : [ ] }\n\n{'seq':5}[{'hosts':[]}]\n{'hosts':{},'seq':6}"
-            + "{'whole':true,'hosts':[{'host':'h\u00e9','dial':'','health':'left'}]}\n").replace('\'', '"');
-        List<String> expected = List.of("spoilt", "whole" + up + " h0=GONE3am7/0.5@" + dial,
-            "ends 42.0 whole", "changes", "ends 43.0", "whole h\u00e9=GONE00/1.0@0", "ends NaN whole");
+                        + entry.formatted("left")
+                        + "],\n  'more':{'hosts':[{}],'seq':9},'seq':42,'whole':true}{'seq':43,"
+                        + "'hosts' : [ ] }\n\n{'seq':5}[{'hosts':[]}]\n{'hosts':{},'seq':6}"
+                        + "{'whole':true,'hosts':[{'host':'h\u00e9','dial':'','health':'left'}]}\n")
+                .replace('\'', '"');
+        List<String> expected = List.of(
+                "spoilt",
+                "whole" + up + " h0=GONE3am7/0.5@" + dial,
+                "ends 42.0 whole",
+                "changes",
+                "ends 43.0",
+                "whole h\u00e9=GONE00/1.0@0",
+                "ends NaN whole");
         for (int piece : new int[] {1, 2, 3, 7, 64, 10_000}) {
             told.clear();
             reader = new ListReader(this, MOST);
@@ -89,30 +113,53 @@
         }
     }
 
-    @Test void aFewGoOverAtOnceAndManyInParts() throws Exception {
+    @Test
+    void aFewGoOverAtOnceAndManyInParts() throws Exception {
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(1000) + "]}", 8192);
         read("{\"hosts\":[" + hosts(2500) + "],\"whole\":true,\"seq\":2}", 8192);
         read("{\"hosts\":[" + hosts(1001) + "],\"whole\":false,\"seq\":3}", 8192);
-        assertEquals(List.of("whole 1000", "ends 1.0 whole", "begins", "changes 1000", "changes 250",
-            "changes 250", "changes 250", "changes 250", "changes 250", "changes 250", "ends 2.0 whole drops",
-            "begins", "changes 1000",
-            "changes h1000=UP3am0/1.0@" + (0x7f000001_0009L), "ends 3.0"), told);
+        assertEquals(
+                List.of(
+                        "whole 1000",
+                        "ends 1.0 whole",
+                        "begins",
+                        "changes 1000",
+                        "changes 250",
+                        "changes 250",
+                        "changes 250",
+                        "changes 250",
+                        "changes 250",
+                        "changes 250",
+                        "ends 2.0 whole drops",
+                        "begins",
+                        "changes 1000",
+                        "changes h1000=UP3am0/1.0@" + (0x7f000001_0009L),
+                        "ends 3.0"),
+                told);
     }
 
-    @Test void aTornListDropsNothing() throws Exception {
+    @Test
+    void aTornListDropsNothing() throws Exception {
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(2000) + ",{\"ho", 8192);
         assertTrue(reader.pending());
-        assertEquals(List.of("begins", "changes 1000", "changes 250", "changes 250", "changes 250"),
-            told);
+        assertEquals(List.of("begins", "changes 1000", "changes 250", "changes 250", "changes 250"), told);
     }
 
-    @Test void aListPastTheBoundIsToldAndDropsNothing() throws Exception {
+    @Test
+    void aListPastTheBoundIsToldAndDropsNothing() throws Exception {
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(MOST + 1500) + "]}", 8192);
         assertTrue(reader.tooLong());
-        assertEquals(List.of("longer than " + MOST, "ends 1.0 whole"), told.stream()
-            .filter(t -> !t.startsWith("changes") && !t.equals("begins")).toList());
-        assertEquals(MOST, told.stream().filter(t -> t.startsWith("changes "))
-            .mapToInt(t -> Integer.parseInt(t.substring(8))).sum());
+        assertEquals(
+                List.of("longer than " + MOST, "ends 1.0 whole"),
+                told.stream()
+                        .filter(t -> !t.startsWith("changes") && !t.equals("begins"))
+                        .toList());
+        assertEquals(
+                MOST,
+                told.stream()
+                        .filter(t -> t.startsWith("changes "))
+                        .mapToInt(t -> Integer.parseInt(t.substring(8)))
+                        .sum());
         read("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts(6) + "]}", 8192);
         assertFalse(reader.tooLong());
         reader = new ListReader(this, 6); // one bound under what goes over at once
@@ -121,10 +168,14 @@
         assertEquals(List.of("longer than 6", "changes 6", "ends 1.0 whole"), told);
     }
 
-    @Test void anEntryOfMegabytesEndsTheCallAndManyEmptyLinesDoNot() throws Exception {
+    @Test
+    void anEntryOfMegabytesEndsTheCallAndManyEmptyLinesDoNot() throws Exception {
         String list = "{\"hosts\":[" + host(0) + ",{\"host\":\"";
-        for (String rest : List.of("x".repeat(1 << 20), "h\",\"a\":[" + "1,".repeat(1 << 19),
-            "h\",\"" + "n".repeat(1 << 20), "h\"" + " ".repeat(1 << 20))) {
+        for (String rest : List.of(
+                "x".repeat(1 << 20),
+                "h\",\"a\":[" + "1,".repeat(1 << 19),
+                "h\",\"" + "n".repeat(1 << 20),
+                "h\"" + " ".repeat(1 << 20))) {
             reader = new ListReader(this, MOST);
             assertThrows(IOException.class, () -> read(list + rest, 8192));
         }
@@ -136,7 +187,8 @@
     }
 
     /** As the file has it, after all else or before it, without its text in memory. */
-    @Test void theListKnownFromBeforeIsReadFromTheFile(@TempDir Path folder) throws Exception {
+    @Test
+    void theListKnownFromBeforeIsReadFromTheFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         String known = "\"known\":{\"seq\":41,\"hosts\":[" + hosts(1200) + "],\"whole\":true}";
         String rest = """
@@ -153,7 +205,10 @@
         }
         for (String none : List.of("", ",\"known\":null")) {
             Files.writeString(file, "{" + rest + none + "}");
-            assertEquals(null, Config.fromEnvironment(Map.of("EDGE_CONFIG", file.toString())).known());
+            assertEquals(
+                    null,
+                    Config.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()))
+                            .known());
         }
         Json settings = Json.without("known", file).get("settings");
         assertEquals(Map.of(), settings.get("known").members());
--- a/src/test/java/willowyoke/net/MetricsTest.java
+++ b/src/test/java/willowyoke/net/MetricsTest.java
@@ -16,8 +16,7 @@
         Map<String, Long> samples = new TreeMap<>();
         text.lines().filter(line -> !line.startsWith("#")).forEach(line -> {
             int space = line.lastIndexOf(' ');
-            samples.put(line.substring(0, space).replace("edge_edge_", ""),
-                Long.parseLong(line.substring(space + 1)));
+            samples.put(line.substring(0, space).replace("edge_edge_", ""), Long.parseLong(line.substring(space + 1)));
         });
         return samples;
     }
@@ -32,9 +31,10 @@
         return "operations_total{priority=\"" + type + "\",status=\"" + status + "\"}";
     }
 
-    @Test void allStandsThereFromTheStartAtNought() {
-        Metrics metrics = new Metrics(List.of(new Gateway.RequestClass("a\"b\\", Gateway.Effect.SAFE,
-            Gateway.Group.ALL, 1, 1, 1, 0, 0, false)));
+    @Test
+    void allStandsThereFromTheStartAtNought() {
+        Metrics metrics = new Metrics(List.of(
+                new Gateway.RequestClass("a\"b\\", Gateway.Effect.SAFE, Gateway.Group.ALL, 1, 1, 1, 0, 0, false)));
         assertEquals("""
             # HELP edge_edge_operations_total Requests ended, by class and outcome.
             # TYPE edge_edge_operations_total counter
@@ -55,10 +55,15 @@
             edge_edge_out_of_rotation 9
             """, metrics.text(7, 8, 9));
         metrics.ended("no class of the settings", Metrics.Outcome.FAULTED);
-        assertEquals(0, samples(metrics.text(0, 0, 0)).values().stream().mapToLong(n -> n).sum());
+        assertEquals(
+                0,
+                samples(metrics.text(0, 0, 0)).values().stream()
+                        .mapToLong(n -> n)
+                        .sum());
     }
 
-    @Test void eachOutcomeIsCountedOnceAndAttemptsWhenWritten() throws Exception {
+    @Test
+    void eachOutcomeIsCountedOnceAndAttemptsWhenWritten() throws Exception {
         start();
         assertEquals(1, scrape().get("registry_entries"));
         Peer.Line client = client();
@@ -92,13 +97,15 @@
         assertEquals(1, all.get(operations("read", "faulted")));
         assertEquals(0, all.get(operations("write", "fulfilled")));
         assertEquals(1, all.get(operations("refuse", "throttled")));
-        assertEquals(9, all.keySet().stream().filter(k -> k.startsWith("operations")).count());
+        assertEquals(
+                9, all.keySet().stream().filter(k -> k.startsWith("operations")).count());
         assertEquals(0, all.get("open_requests"));
         assertEquals(3, all.get("relayed_total"));
         assertEquals(0, all.get("out_of_rotation"));
     }
 
-    @Test void refusalsRetriesAndClosesAreCountedByReason() {
+    @Test
+    void refusalsRetriesAndClosesAreCountedByReason() {
         Metrics metrics = new Metrics(List.of());
         metrics.unserved(Metrics.Outcome.THROTTLED, Gateway.EndReason.QUOTA_SHORT);
         metrics.unserved(Metrics.Outcome.FAULTED, Gateway.EndReason.DEADLINE);
@@ -109,9 +116,18 @@
         metrics.serverClosed(CloseReason.RETIRED);
         Map<String, Long> samples = samples(metrics.text(0, 0, 0));
         samples.values().removeIf(n -> n == 0);
-        assertEquals(Map.of("refusals_total{reason=\"quota_short\"}", 1L,
-            "failures_total{reason=\"deadline\"}", 2L, "retries_total{after=\"reset\"}", 1L,
-            "client_closes_total{reason=\"shutdown_idle\"}", 1L,
-            "server_closes_total{reason=\"retired\"}", 1L), samples);
+        assertEquals(
+                Map.of(
+                        "refusals_total{reason=\"quota_short\"}",
+                        1L,
+                        "failures_total{reason=\"deadline\"}",
+                        2L,
+                        "retries_total{after=\"reset\"}",
+                        1L,
+                        "client_closes_total{reason=\"shutdown_idle\"}",
+                        1L,
+                        "server_closes_total{reason=\"retired\"}",
+                        1L),
+                samples);
     }
 }
--- a/src/test/java/willowyoke/net/NodeFixture.java
+++ b/src/test/java/willowyoke/net/NodeFixture.java
@@ -31,7 +31,8 @@
         private Set<String> cordoned = Set.of();
         private int listed;
 
-        @Override public void servers(double now, List<Gateway.Server> list, boolean whole) {
+        @Override
+        public void servers(double now, List<Gateway.Server> list, boolean whole) {
             StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
             list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
             told.add(text.toString());
@@ -41,38 +42,43 @@
             list.stream().filter(s -> s.state() == Gateway.State.UP).forEach(act::keep);
         }
 
-        @Override public int listed() {
+        @Override
+        public int listed() {
             return listed;
         }
 
-        @Override public boolean cordon(double now, String server, boolean out) {
+        @Override
+        public boolean cordon(double now, String server, boolean out) {
             told.add((out ? "cordon " : "uncordon ") + server);
             act.withdraw(server);
             return server.equals("s0");
         }
 
-        @Override public void cordons(double now, Set<String> servers) {
+        @Override
+        public void cordons(double now, Set<String> servers) {
             if (!servers.equals(cordoned)) { // the first telling is of none, as a rule
                 cordoned = servers;
                 told.add("cordons " + servers);
             }
         }
 
-        @Override public void discoveryFailed(double now) {
+        @Override
+        public void discoveryFailed(double now) {
             if (tellSilence) {
                 told.add("discovery failed");
             }
         }
 
-        @Override public void arrived(double now, Gateway.Request r) {
+        @Override
+        public void arrived(double now, Gateway.Request r) {
             told.add("arrived " + r.id() + " " + r.type() + " " + r.plan() + " " + r.customer() + " "
-                + r.units()
-                + " " + r.spread() + " " + r.first() + " " + r.again());
+                    + r.units()
+                    + " " + r.spread() + " " + r.first() + " " + r.again());
             switch (r.type()) {
                 case "refuse" -> act.refuse(r.id(), 1500);
                 case "fail" -> act.fail(r.id());
                 case "throw" -> throw new IllegalStateException("on purpose");
-                case "hold" -> { }
+                case "hold" -> {}
                 case "stall" -> stall.acquireUninterruptibly(); // the loop sees nothing meanwhile
                 case "drop" -> { // over before the connection for it is up
                     act.send(r.id(), "s0", 0);
@@ -91,43 +97,56 @@
             }
         }
 
-        @Override public void firstAnswer(double now, long id, int attempt) { }
+        @Override
+        public void firstAnswer(double now, long id, int attempt) {}
 
-        @Override public void ended(double now, long id, int attempt, Gateway.Outcome outcome, double took,
-            boolean over, int trueUnits, double[] load) {
+        @Override
+        public void ended(
+                double now,
+                long id,
+                int attempt,
+                Gateway.Outcome outcome,
+                double took,
+                boolean over,
+                int trueUnits,
+                double[] load) {
             told.add("ended " + id + " " + attempt + " " + outcome + " " + over);
             if (!over) {
                 act.fail(id);
             }
         }
 
-        @Override public void gone(double now, long id) {
+        @Override
+        public void gone(double now, long id) {
             told.add("gone " + id);
             if (id == sendAfter) {
                 act.send(id + 1, "s0", 0);
             }
         }
 
-        @Override public void timer(double now, long token) {
+        @Override
+        public void timer(double now, long token) {
             if (failTimers-- > 0) {
                 throw new IllegalStateException("timer on purpose");
             }
             act.cancel(token, 0);
         }
 
-        @Override public void probed(double now, String server, Gateway.Outcome outcome, double took,
-            double[] load) {
+        @Override
+        public void probed(double now, String server, Gateway.Outcome outcome, double took, double[] load) {
             told.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
         }
 
-        @Override public void counted(double now, long name, Gateway.Outcome outcome, double took,
-            double total) {
+        @Override
+        public void counted(double now, long name, Gateway.Outcome outcome, double took, double total) {
             told.add("counted " + name + " " + outcome + " " + total);
         }
     }
 
     /** The folder that is kept when a new version comes up beside this one. */
-    @TempDir Path state;
+    @TempDir
+    Path state;
+
     final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     final List<AutoCloseable> open = new ArrayList<>();
     Peer app;
@@ -144,12 +163,13 @@
     volatile boolean tellSilence = true;
     /** When this request's client goes, the next request's turn comes. */
     volatile long sendAfter;
+
     final Semaphore stall = new Semaphore(0);
 
     static String entry(String id, String dial, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + dial
-            + "\",\"site\":\"a\",\"class\":\"m\",\"block\":3,"
-            + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
+                + "\",\"site\":\"a\",\"class\":\"m\",\"block\":3,"
+                + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     static String list(int seq, boolean whole, String... entries) {
@@ -170,7 +190,8 @@
         push("");
     }
 
-    @BeforeEach void peers() throws IOException {
+    @BeforeEach
+    void peers() throws IOException {
         app = new Peer();
         discovery = new Peer();
         counter = new Peer();
@@ -188,9 +209,13 @@
               "request_classes":[{"name":"read","effect":"read_like","aim":600,"hard_limit":2000},
                 {"name":"refuse","effect":"read_like","aim":600,"hard_limit":2000},
                 {"name":"write","effect":"idempotency_key","aim":600,"hard_limit":2000}],
-              "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""
-            .formatted(listen, discovery.address(), sockets,
-            counter.address(), list(41, true, entry("s0", app.address(), "active")), keepAlive);
+              "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""".formatted(
+                        listen,
+                        discovery.address(),
+                        sockets,
+                        counter.address(),
+                        list(41, true, entry("s0", app.address(), "active")),
+                        keepAlive);
     }
 
     /** Starts, and expects what the module is told before and with the list known at the start. */
@@ -220,7 +245,8 @@
         expect("whole s0 UP");
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         for (AutoCloseable each : open) {
             each.close();
         }
@@ -249,13 +275,12 @@
         while (!head.isEmpty()) {
             head = line.line();
         }
-        return List.of(status.split(" ")[1],
-            new String(line.in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
+        return List.of(
+                status.split(" ")[1], new String(line.in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
     }
 
     static void get(Peer.Line client, String id, String type, int wait) throws IOException {
-        client.command("CALL.GET", CUSTOMER, id, "c=" + type + ",t=p,d=" + wait
-            + ",units=2,spread=3,first=1");
+        client.command("CALL.GET", CUSTOMER, id, "c=" + type + ",t=p,d=" + wait + ",units=2,spread=3,first=1");
     }
 
     /** The next thing told to the module. */
--- a/src/test/java/willowyoke/net/NodeTest.java
+++ b/src/test/java/willowyoke/net/NodeTest.java
@@ -9,9 +9,9 @@
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.ConnectException;
-import java.net.SocketException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -21,19 +21,18 @@
 
 /** Calls through the edge node: order, outcomes, lists, counter, its end. */
 class NodeTest extends NodeFixture {
-    @Test void aCallGoesOnUnchangedButForTheTimeLeftAndItsValueComesBack() throws Exception {
+    @Test
+    void aCallGoesOnUnchangedButForTheTimeLeftAndItsValueComesBack() throws Exception {
         start();
         Peer.Line client = client();
         client.command("PING");
         assertEquals(List.of("+PONG"), client.message());
         String body = "x".repeat(64 * 1024);
-        client.command("CALL.POST", CUSTOMER, "9b1f",
-            "c=write,t=p,d=900,k=5c0f,units=2,spread=3,first=1,r=1", body);
+        client.command("CALL.POST", CUSTOMER, "9b1f", "c=write,t=p,d=900,k=5c0f,units=2,spread=3,first=1,r=1", body);
         expect("arrived 1 write p " + CUSTOMER + " 2 3 1 true");
         List<String> sent = server.message();
         assertEquals(List.of("CALL.POST", CUSTOMER, "9b1f"), sent.subList(0, 3));
-        assertTrue(sent.get(3).matches("c=write,t=p,d=(8[0-9][0-9]),k=5c0f,units=2,spread=3,first=1,r=1"),
-            sent.get(3));
+        assertTrue(sent.get(3).matches("c=write,t=p,d=(8[0-9][0-9]),k=5c0f,units=2,spread=3,first=1,r=1"), sent.get(3));
         assertEquals(body, sent.get(4));
         String value = "\r\n$5".repeat(13_000);
         server.value(value);
@@ -42,7 +41,8 @@
     }
 
     /** Answers keep the order of the commands, whichever app server is quicker. */
-    @Test void pipelinedCallsAreAnsweredInOrder() throws Exception {
+    @Test
+    void pipelinedCallsAreAnsweredInOrder() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 900);
@@ -58,11 +58,12 @@
         assertEquals(List.of("three"), client.message());
     }
 
-    @Test void commandsInPiecesAreTakenWhenWhole() throws Exception {
+    @Test
+    void commandsInPiecesAreTakenWhenWhole() throws Exception {
         start();
         Peer.Line client = client();
         String whole = "*1\r\n$4\r\nPING\r\n*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER
-            + "\r\n$2\r\n01\r\n$19\r\nc=refuse,t=p,d=1500\r\n";
+                + "\r\n$2\r\n01\r\n$19\r\nc=refuse,t=p,d=1500\r\n";
         client.socket.setTcpNoDelay(true);
         for (char c : whole.toCharArray()) {
             client.write(String.valueOf(c));
@@ -72,7 +73,8 @@
     }
 
     /** An app server that drops idle connections without a word: each next request was reset. */
-    @Test void connectionsThatAreFoundDeadAreNotUsedAgain() throws Exception {
+    @Test
+    void connectionsThatAreFoundDeadAreNotUsedAgain() throws Exception {
         start();
         Peer.Line client = client();
         Peer.Line line = server;
@@ -100,7 +102,8 @@
         assertTrue(again >= 5, "a few resets may be chance: " + again);
     }
 
-    @Test void aClientThatClosesIsGoneAndItsAttemptIsTimedOutLater() throws Exception {
+    @Test
+    void aClientThatClosesIsGoneAndItsAttemptIsTimedOutLater() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 300);
@@ -113,7 +116,8 @@
     }
 
     /** The protocol's table of outcomes; a break after the last byte may have run, one before has not. */
-    @Test void eachWayToEndHasItsOutcome() throws Exception {
+    @Test
+    void eachWayToEndHasItsOutcome() throws Exception {
         start();
         Peer.Line client = client();
         String[][] cases = {{"-ERR failed\r\n", "ERROR"}, {"-BUSY\r\n", "FULL"}};
@@ -138,7 +142,8 @@
     }
 
     /** A late answer to an attempt that was given up must not be taken for the next one's. */
-    @Test void aGivenUpAttemptEndsItsConnection() throws Exception {
+    @Test
+    void aGivenUpAttemptEndsItsConnection() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 200);
@@ -156,7 +161,8 @@
     }
 
     /** The last word is the node's where the module has none: each request gets one answer in time. */
-    @Test void aHeldOrFailedRequestIsAnswered() throws Exception {
+    @Test
+    void aHeldOrFailedRequestIsAnswered() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "hold", 200);
@@ -172,7 +178,8 @@
     }
 
     /** The module arms one timer for all it waits for: an exception there must not be the end of its time. */
-    @Test void aTimerThatFailsComesAgain() throws Exception {
+    @Test
+    void aTimerThatFailsComesAgain() throws Exception {
         failTimers = 1;
         start();
         Peer.Line client = client();
@@ -183,7 +190,8 @@
         assertEquals(List.of("-ERR failed"), client.message());
     }
 
-    @Test void anIdleConnectionIsRetiredBeforeTheServerEndsIt() throws Exception {
+    @Test
+    void anIdleConnectionIsRetiredBeforeTheServerEndsIt() throws Exception {
         keepAlive = 6000;
         long begun = System.nanoTime();
         start();
@@ -198,7 +206,8 @@
         assertEquals(List.of("v"), client.message());
     }
 
-    @Test void probesAskForTheLoadInTheSettingsOrder() throws Exception {
+    @Test
+    void probesAskForTheLoadInTheSettingsOrder() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "probe", 900);
@@ -209,7 +218,8 @@
     }
 
     /** Counter calls end in time as 'may have been added', and a late answer must not shift onto the next. */
-    @Test void lateCounterAnswersStayWithTheirCalls() throws Exception {
+    @Test
+    void lateCounterAnswersStayWithTheirCalls() throws Exception {
         start();
         Peer.Line[] lines = new Peer.Line[4];
         BlockingQueue<Peer.Line> called = new LinkedBlockingQueue<>();
@@ -254,7 +264,8 @@
         expect("counted 77 RESET 0.0");
     }
 
-    @Test void theWatchTellsDrainsMovesAndLeavers() throws Exception {
+    @Test
+    void theWatchTellsDrainsMovesAndLeavers() throws Exception {
         start();
         push(list(42, false, entry("s0", app.address(), "leaving")));
         expect("changes s0 DRAINING");
@@ -280,7 +291,8 @@
     }
 
     /** A watch to a machine that vanished is silent for ever: it is dead once its 2 s lines stop. */
-    @Test void aSilentWatchIsRenewedFromItsVersion() throws Exception {
+    @Test
+    void aSilentWatchIsRenewedFromItsVersion() throws Exception {
         start();
         assertTrue(watch.ended());
         Peer.Line next = discovery.accept();
@@ -288,7 +300,8 @@
     }
 
     /** At SIGTERM connections still come for a while; what is taken is answered, and then it ends. */
-    @Test void itDrainsBeforeItEnds() throws Exception {
+    @Test
+    void itDrainsBeforeItEnds() throws Exception {
         start();
         Peer.Line idle = client();
         idle.command("PING");
@@ -319,7 +332,8 @@
      * A client may come before bind has returned to its caller: the first was then dropped, as the listener
      * was not known yet. Here bind never returns, as its caller is interrupted.
      */
-    @Test void aClientMayComeTheMomentItListens() throws Exception {
+    @Test
+    void aClientMayComeTheMomentItListens() throws Exception {
         start();
         InetSocketAddress address;
         try (ServerSocket free = new ServerSocket(0)) {
@@ -329,8 +343,8 @@
         try {
             Thread.currentThread().interrupt();
             assertThrows(InterruptedException.class, () -> new ClientListener(node, 8).bind(group, address));
-            group.submit(() -> { }).sync(); // the bind that was left to the loop is done
-            group.submit(() -> { }).sync();
+            group.submit(() -> {}).sync(); // the bind that was left to the loop is done
+            group.submit(() -> {}).sync();
             try (Peer.Line line = Peer.Line.to(address.getPort())) {
                 line.command("PING");
                 assertEquals(List.of("+PONG"), line.message());
@@ -341,7 +355,8 @@
     }
 
     /** What a slow reader has still to get is not cut off when the node ends its connection. */
-    @Test void aLongAnswerIsWholeForASlowReaderAtTheEnd() throws Exception {
+    @Test
+    void aLongAnswerIsWholeForASlowReaderAtTheEnd() throws Exception {
         sockets = 1024;
         start();
         Peer.Line client = client();
@@ -359,11 +374,13 @@
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        assertThrows(SocketException.class, () -> { // refused, or reset where the end crosses a connect
-            while (draining.isAlive()) {
-                client().close(); // until it listens no more: by then the connections have been ended too
-            }
-        });
+        assertThrows(
+                SocketException.class,
+                () -> { // refused, or reset where the end crosses a connect
+                    while (draining.isAlive()) {
+                        client().close(); // until it listens no more: by then the connections have been ended too
+                    }
+                });
         assertThrows(ConnectException.class, this::client);
         for (int i = 0; i < calls; i++) {
             assertEquals(List.of(value), client.message());
--- a/src/test/java/willowyoke/net/Peer.java
+++ b/src/test/java/willowyoke/net/Peer.java
@@ -66,7 +66,11 @@
         void command(String... words) throws IOException {
             StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
             for (String word : words) {
-                text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+                text.append('$')
+                        .append(word.length())
+                        .append("\r\n")
+                        .append(word)
+                        .append("\r\n");
             }
             write(text.toString());
         }
@@ -84,7 +88,8 @@
             }
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -133,7 +138,8 @@
         return accepted.poll(wait, java.util.concurrent.TimeUnit.MILLISECONDS);
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         server.close();
         try {
             accepting.join(); // the last to hold the socket: from here on it refuses
--- a/src/test/java/willowyoke/net/ReadinessTest.java
+++ b/src/test/java/willowyoke/net/ReadinessTest.java
@@ -15,7 +15,8 @@
 class ReadinessTest extends NodeFixture {
     private boolean known = true;
 
-    @Override String config() {
+    @Override
+    String config() {
         String text = super.config();
         return known ? text : text.replace("\"known\":", "\"other\":");
     }
@@ -32,13 +33,20 @@
             }
         }
         double[] at = {Double.MAX_VALUE};
-        Readiness.of(clock, spent, known, parts[0].thenRun(() -> { }), parts[1].thenRun(() -> { }),
-            parts[2].thenRun(() -> { })).thenRun(() -> at[0] = clock.now());
+        Readiness.of(
+                        clock,
+                        spent,
+                        known,
+                        parts[0].thenRun(() -> {}),
+                        parts[1].thenRun(() -> {}),
+                        parts[2].thenRun(() -> {}))
+                .thenRun(() -> at[0] = clock.now());
         clock.to(20_000);
         return spent + at[0];
     }
 
-    @Test void theWaitsOfAStartAreBoundedInSum() {
+    @Test
+    void theWaitsOfAStartAreBoundedInSum() {
         assertEquals(100, ready(0, true, 0), "nothing is waited for that is there");
         assertEquals(800, ready(0, true, 1), "a list known from before serves");
         assertEquals(2000, ready(0, true, 4), "connections are made when they are asked for");
@@ -54,7 +62,8 @@
     }
 
     /** Counter and app servers take connections and say nothing, and discovery may do the same. */
-    @ParameterizedTest @ValueSource(strings = {"discovery answers", "all silent", "all silent, no list"})
+    @ParameterizedTest
+    @ValueSource(strings = {"discovery answers", "all silent", "all silent, no list"})
     void aNodeListensWhoeverIsSilent(String how) throws Exception {
         known = !how.endsWith("no list");
         if (how.startsWith("discovery")) {
@@ -69,11 +78,11 @@
             agent.start();
         }
         Script script = new Script();
-        node = new Node(Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         node.start();
         assertNotNull(node.address());
         Peer.Line client = client();
@@ -82,14 +91,15 @@
     }
 
     /** A list from before that cannot be taken is no reason to wait for anything, or not to start. */
-    @Test void aSpoiltListFromBeforeIsNoReasonNotToStart() throws Exception {
+    @Test
+    void aSpoiltListFromBeforeIsNoReasonNotToStart() throws Exception {
         Script script = new Script();
         String text = config().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
-        node = new Node(Config.of(Json.read(text), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(text), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         node.start();
         assertNotNull(node.address());
     }
--- a/src/test/java/willowyoke/net/ReloadTest.java
+++ b/src/test/java/willowyoke/net/ReloadTest.java
@@ -14,11 +14,14 @@
 
 /** SIGHUP and new configurations while the edge node runs. */
 class ReloadTest extends NodeFixture {
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
 
     private Config moved(Peer toDiscovery, Peer toCounter) throws IOException {
-        return Config.of(Json.read(config().replace(discovery.address(), toDiscovery.address())
-            .replace(counter.address(), toCounter.address())), Map.of());
+        return Config.of(
+                Json.read(config().replace(discovery.address(), toDiscovery.address())
+                        .replace(counter.address(), toCounter.address())),
+                Map.of());
     }
 
     private static void answerLists(Peer.Line line, String list) throws IOException {
@@ -30,7 +33,8 @@
     }
 
     /** The old watch counts until the new place has told its list; then it is left. */
-    @Test void discoveryMoves() throws Exception {
+    @Test
+    void discoveryMoves() throws Exception {
         start();
         try (Peer next = new Peer()) {
             node.reload(() -> moved(next, counter));
@@ -45,13 +49,14 @@
     }
 
     /** The signal may come as the node comes up, with the file read before it was replaced. */
-    @Test void discoveryMovesBeforeTheNodeIsUp() throws Exception {
+    @Test
+    void discoveryMovesBeforeTheNodeIsUp() throws Exception {
         Script script = new Script();
-        node = new Node(Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         try (Peer next = new Peer()) {
             node.reload(() -> moved(next, counter));
             Thread answering = new Thread(() -> {
@@ -74,7 +79,8 @@
     }
 
     /** Calls go to the new counter once it is up, and the old lines end once nothing is owed on them. */
-    @Test void theCounterMoves() throws Exception {
+    @Test
+    void theCounterMoves() throws Exception {
         start();
         Peer.Line[] old = new Peer.Line[4];
         for (int i = 0; i < 4; i++) {
@@ -104,28 +110,38 @@
     }
 
     /** A file that cannot be read changes nothing. */
-    @Test void aFileThatCannotBeReadIsLeftAlone() throws Exception {
+    @Test
+    void aFileThatCannotBeReadIsLeftAlone() throws Exception {
         start();
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         node.reload(() -> Config.again(Map.of("EDGE_CONFIG", file.toString())));
-        node.reload(() -> Config.again(Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
+        node.reload(
+                () -> Config.again(Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
         push(list(42, false, entry("s0", app.address(), "leaving")));
         expect("changes s0 DRAINING");
     }
 
     /** The variables are those of the start: the file's discovery wins when it is read again. */
-    @Test void theFileWinsOverTheVariableOfTheStart() throws Exception {
+    @Test
+    void theFileWinsOverTheVariableOfTheStart() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config());
         Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
-        assertEquals("127.0.0.9:1", Config.fromEnvironment(env).discovery().toString().substring(1));
+        assertEquals(
+                "127.0.0.9:1",
+                Config.fromEnvironment(env).discovery().toString().substring(1));
         assertEquals(discovery.port(), Config.again(env).discovery().getPort());
     }
 
     /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
-    @Test void aHangupDoesNotEndTheProcess() throws Exception {
+    @Test
+    void aHangupDoesNotEndTheProcess() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config());
-        ProcessBuilder start = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString(), "-cp", System.getProperty("java.class.path"), "willowyoke.Main", "serve");
+        ProcessBuilder start = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "willowyoke.Main",
+                "serve");
         start.environment().put("EDGE_CONFIG", file.toString());
         start.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
         Process process = start.start();
@@ -136,8 +152,11 @@
             Files.writeString(file, config().replace(discovery.address(), next.address()));
             Peer.Line line = null;
             for (int i = 0; i < 50 && line == null; i++) { // asked before it is up it has nothing to move
-                assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start()
-                    .waitFor());
+                assertEquals(
+                        0,
+                        new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                                .start()
+                                .waitFor());
                 line = next.poll(200);
                 assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
             }
--- a/src/test/java/willowyoke/net/ShutdownBudgetTest.java
+++ b/src/test/java/willowyoke/net/ShutdownBudgetTest.java
@@ -14,29 +14,45 @@
     private static Gateway.Settings settings(double... deadlines) {
         Gateway.Settings none = SettingsReader.read(Map.of());
         List<Gateway.RequestClass> classes = Arrays.stream(deadlines)
-            .mapToObj(d -> new Gateway.RequestClass("c" + d, Gateway.Effect.SAFE, Gateway.Group.ALL, d / 2,
-                d, 1, 0, 0, false)).toList();
-        return new Gateway.Settings(none.me(), none.nodes(), none.zone(), none.tick(), none.mustAsk(),
-            none.settled(), none.mostUnits(), none.loadFields(), classes, none.plans(), none.allowed(),
-            none.rules(), none.prices());
+                .mapToObj(d -> new Gateway.RequestClass(
+                        "c" + d, Gateway.Effect.SAFE, Gateway.Group.ALL, d / 2, d, 1, 0, 0, false))
+                .toList();
+        return new Gateway.Settings(
+                none.me(),
+                none.nodes(),
+                none.zone(),
+                none.tick(),
+                none.mustAsk(),
+                none.settled(),
+                none.mostUnits(),
+                none.loadFields(),
+                classes,
+                none.plans(),
+                none.allowed(),
+                none.rules(),
+                none.prices());
     }
 
-    @Test void theKillComesBehindTheLongestDeadline() {
+    @Test
+    void theKillComesBehindTheLongestDeadline() {
         assertEquals(900, ShutdownBudget.earliestKill(settings(100, 200)));
         assertEquals(3008, ShutdownBudget.earliestKill(settings(2308, 1000)));
     }
 
-    @Test void aLongerDeadlineCountsAsThreeSeconds() {
+    @Test
+    void aLongerDeadlineCountsAsThreeSeconds() {
         assertEquals(3700, ShutdownBudget.earliestKill(settings(4000)));
         assertEquals(3700, ShutdownBudget.earliestKill(settings(10_000, 100)));
     }
 
-    @Test void settingsThatTellNoDeadlineMayHaveAny() {
+    @Test
+    void settingsThatTellNoDeadlineMayHaveAny() {
         assertEquals(3700, ShutdownBudget.earliestKill(settings()));
         assertEquals(3700, ShutdownBudget.earliestKill(settings(0)));
     }
 
-    @Test void answersAreDueTwoHoldUpsBeforeTheKill() {
+    @Test
+    void answersAreDueTwoHoldUpsBeforeTheKill() {
         assertEquals(2708, ShutdownBudget.answersDue(settings(2308)));
     }
 }
--- a/src/test/java/willowyoke/net/ShutdownProcessTest.java
+++ b/src/test/java/willowyoke/net/ShutdownProcessTest.java
@@ -29,11 +29,14 @@
 class ShutdownProcessTest {
     /** SIGKILL comes no sooner than this (ms) behind the longest deadline, which counts as 3 s at most. */
     private static final int KILL_BEHIND = 750;
+
     private static final int DEADLINE_COUNTED = 3000;
     private static final int READY_WITHIN = 30_000;
     private static final String UNANSWERED = "connection ended with no whole answer";
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private final List<AutoCloseable> open = new ArrayList<>();
     private NodeProcess node;
 
@@ -41,14 +44,16 @@
     private Peer discovery;
     private FaultProxy proxy;
 
-    @BeforeEach void peers() throws IOException {
+    @BeforeEach
+    void peers() throws IOException {
         placeServer = new Peer();
         discovery = new Peer(); // takes connections and says nothing: the list known before counts
         proxy = new FaultProxy(new InetSocketAddress("127.0.0.1", placeServer.port()));
         open.addAll(List.of(placeServer, discovery, proxy));
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         if (node != null) {
             node.close();
         }
@@ -68,15 +73,29 @@
               "limits":{"send_cap":2,"keepalive":15000,"connect_timeout":250,"cancelling":true},
               "request_classes":[{"name":"order","effect":"non_idempotent","aim":%d,"hard_limit":%d},
                 {"name":"read","effect":"read_like","aim":%d,"hard_limit":%d}],
-              "tariffs":[{"name":"p","per_second":800,"depth":800}]}}"""
-            .formatted(port, discovery.address(),
-            NodeFixture.list(41, true, NodeFixture.entry("s0", proxy.dial(), "active")), deadline / 2,
-            deadline, deadline / 2, deadline));
-        List<String> command = List.of(System.getProperty("java.home") + File.separator + "bin"
-            + File.separator + "java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
-            System.getProperty("java.class.path"), "willowyoke.Main", "serve");
-        node = NodeProcess.start(command, Path.of("."), Map.of("EDGE_CONFIG", config.toString(), "TMPDIR",
-            folder.toString()), folder.resolve("log"), new InetSocketAddress("127.0.0.1", port));
+              "tariffs":[{"name":"p","per_second":800,"depth":800}]}}""".formatted(
+                        port,
+                        discovery.address(),
+                        NodeFixture.list(41, true, NodeFixture.entry("s0", proxy.dial(), "active")),
+                        deadline / 2,
+                        deadline,
+                        deadline / 2,
+                        deadline));
+        List<String> command = List.of(
+                System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "willowyoke.Main",
+                "serve");
+        node = NodeProcess.start(
+                command,
+                Path.of("."),
+                Map.of("EDGE_CONFIG", config.toString(), "TMPDIR", folder.toString()),
+                folder.resolve("log"),
+                new InetSocketAddress("127.0.0.1", port));
         assertTrue(node.awaitReady(READY_WITHIN), () -> "not ready: " + log());
         proxy.mode(FaultProxy.Mode.HOLD_ANSWERS);
     }
@@ -96,8 +115,8 @@
     }
 
     private static void post(Peer.Line client, String id, int wait) throws IOException {
-        client.command("CALL.POST", NodeFixture.CUSTOMER, id, "c=order,t=p,d=" + wait
-            + ",units=1,spread=1,first=0", "body");
+        client.command(
+                "CALL.POST", NodeFixture.CUSTOMER, id, "c=order,t=p,d=" + wait + ",units=1,spread=1,first=0", "body");
     }
 
     /** What the client sees: the answer, or the end of its connection. */
@@ -146,16 +165,19 @@
         assertEquals("[-ERR failed]", outcome(late), this::log);
     }
 
-    @Test void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithShortDeadlines() throws Exception {
+    @Test
+    void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithShortDeadlines() throws Exception {
         lateRequestIsAnswered(1000);
     }
 
-    @Test void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithLongDeadlines() throws Exception {
+    @Test
+    void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithLongDeadlines() throws Exception {
         lateRequestIsAnswered(4000);
     }
 
     /** What was taken before the signal is owed too: its time ends behind the kill. */
-    @Test void aRequestTakenBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
+    @Test
+    void aRequestTakenBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
         int deadline = 4000;
         start(deadline);
         Peer.Line before = client();
--- a/src/test/java/willowyoke/net/SpoiltTest.java
+++ b/src/test/java/willowyoke/net/SpoiltTest.java
@@ -18,7 +18,8 @@
     }
 
     /** A second copy, or half a message, right behind an answer is not the next request's value. */
-    @Test void whatComesBehindAnAnswerEndsTheConnection() throws Exception {
+    @Test
+    void whatComesBehindAnAnswerEndsTheConnection() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 5000);
@@ -38,7 +39,8 @@
     }
 
     /** Also when nothing is asked on the connection: the decoder keeps half a message to itself. */
-    @Test void bytesOnAnIdleConnectionEndIt() throws Exception {
+    @Test
+    void bytesOnAnIdleConnectionEndIt() throws Exception {
         start();
         server.write("*3\r\n$5\r\nst");
         assertTrue(server.ended());
@@ -48,15 +50,25 @@
     }
 
     /** It may have run, and what comes next on the connection belongs to nobody. */
-    @Test void anAnswerInNoFormIsAnErrorAndEndsTheConnection() throws Exception {
+    @Test
+    void anAnswerInNoFormIsAnErrorAndEndsTheConnection() throws Exception {
         start();
         server.close();
         Peer.Line client = client();
-        String[] forms = {"*-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "+OK\r\n", ":1\r\n",
+        String[] forms = {
+            "*-1\r\n",
+            "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+            "+OK\r\n",
+            ":1\r\n",
             "$3\r\nabc\r\n",
-            "*4\r\n$1\r\na\r\n$-1\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\na\r\n$-1\r\n", "-BUSYNESS\r\n",
+            "*4\r\n$1\r\na\r\n$-1\r\n$-1\r\n$-1\r\n",
+            "*2\r\n$1\r\na\r\n$-1\r\n",
+            "-BUSYNESS\r\n",
             "noise\r\n",
-            "*3\r\n$3\r\nabcde\r\n$-1\r\n$-1\r\n", "*3\r\n$3000000000\r\nabc", "*3\r\n$-7\r\n"};
+            "*3\r\n$3\r\nabcde\r\n$-1\r\n$-1\r\n",
+            "*3\r\n$3000000000\r\nabc",
+            "*3\r\n$-7\r\n"
+        };
         for (int i = 1; i <= forms.length; i++) {
             Peer.Line line = next(client, i);
             line.write(forms[i - 1]);
@@ -67,7 +79,8 @@
     }
 
     /** A value whose length is longer than what comes kept its request until the client's time was up. */
-    @Test void halfAnAnswerIsNotWaitedForToTheEnd() throws Exception {
+    @Test
+    void halfAnAnswerIsNotWaitedForToTheEnd() throws Exception {
         start();
         Peer.Line client = client();
         get(client, "01", "read", 60_000);
@@ -80,7 +93,8 @@
     }
 
     /** Half an array is an error by the codec's word, half a line a reset: by both it may have run. */
-    @Test void halfAnAnswerAtTheCloseMayHaveRun() throws Exception {
+    @Test
+    void halfAnAnswerAtTheCloseMayHaveRun() throws Exception {
         start();
         Peer.Line client = client();
         for (int i = 1; i <= 2; i++) {
@@ -98,7 +112,8 @@
     }
 
     /** A report that cannot be read spoils no value, and the connection is as good as before. */
-    @Test void aBadReportSpoilsNoValue() throws Exception {
+    @Test
+    void aBadReportSpoilsNoValue() throws Exception {
         start();
         Peer.Line client = client();
         for (int i = 1; i <= 2; i++) {
@@ -112,7 +127,8 @@
     }
 
     /** No number in it: the amount was added; the line is of no use, and NaN would stay in all sums. */
-    @Test void aCounterAnswerWithoutANumberEndsItsLine() throws Exception {
+    @Test
+    void aCounterAnswerWithoutANumberEndsItsLine() throws Exception {
         start();
         List<Peer.Line> lines = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -120,8 +136,17 @@
         }
         Peer.Line client = client();
         Peer.Line line = lines.get((int) Math.floorMod(77L, 4L));
-        String[] spoilt = {"$3\r\nNaN\r\n", "$8\r\nInfinity\r\n", "$3\r\n3x4\r\n", "$-1\r\n", ":5\r\n",
-            "+OK\r\n", "noise\r\n", "$4\r\n0x1p\r\n", "$9\r\n12"};
+        String[] spoilt = {
+            "$3\r\nNaN\r\n",
+            "$8\r\nInfinity\r\n",
+            "$3\r\n3x4\r\n",
+            "$-1\r\n",
+            ":5\r\n",
+            "+OK\r\n",
+            "noise\r\n",
+            "$4\r\n0x1p\r\n",
+            "$9\r\n12"
+        };
         for (int i = 1; i <= spoilt.length; i++) {
             get(client, "0" + i, "count", 5000);
             arrived(i, "count");
@@ -136,17 +161,21 @@
     }
 
     /** The library tells of half an array behind the end of its line: no exception may leave the handler. */
-    @Test void halfAnArrayAtTheEndOfALineHarmsNothingElse() throws Exception {
+    @Test
+    void halfAnArrayAtTheEndOfALineHarmsNothingElse() throws Exception {
         List<String> warned = new java.util.concurrent.CopyOnWriteArrayList<>();
         java.util.logging.Logger library = java.util.logging.Logger.getLogger("io.netty");
         java.util.logging.Handler noting = new java.util.logging.Handler() {
-            @Override public void publish(java.util.logging.LogRecord record) {
+            @Override
+            public void publish(java.util.logging.LogRecord record) {
                 warned.add(record.getMessage());
             }
 
-            @Override public void flush() { }
+            @Override
+            public void flush() {}
 
-            @Override public void close() { }
+            @Override
+            public void close() {}
         };
         library.addHandler(noting);
         try {
@@ -180,7 +209,8 @@
     }
 
     /** A line that was reset was down for 100 ms, and all calls of its names were lost. */
-    @Test void aBrokenCounterLineIsBackAtOnce() throws Exception {
+    @Test
+    void aBrokenCounterLineIsBackAtOnce() throws Exception {
         start();
         List<Peer.Line> lines = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/willowyoke/net/StartTest.java
+++ b/src/test/java/willowyoke/net/StartTest.java
@@ -22,8 +22,8 @@
 @Timeout(60)
 class StartTest {
     /** Classes that cost much at a start and are of no use in it: recording, locales, formats. */
-    private static final List<String> NOT_AT_A_START = List.of("jdk.jfr.EventType", "sun.util.cldr.",
-        "java.util.Formatter");
+    private static final List<String> NOT_AT_A_START =
+            List.of("jdk.jfr.EventType", "sun.util.cldr.", "java.util.Formatter");
 
     private static String run() throws Exception {
         for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
@@ -34,7 +34,8 @@
         throw new IllegalStateException("no run in the deploy file");
     }
 
-    @Test void loadsNothingDearAndTellsItsParts(@TempDir Path folder) throws Exception {
+    @Test
+    void loadsNothingDearAndTellsItsParts(@TempDir Path folder) throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
             String at = "127.0.0.1:" + peer.getLocalPort();
@@ -47,32 +48,40 @@
                   "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""".formatted(at));
             Path loaded = folder.resolve("loaded");
             // the command of the deploy file, but for the jar: it is not built yet when tests run
-            List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + File.separator
-                + "bin" + File.separator + "java"));
+            List<String> command = new ArrayList<>(
+                    List.of(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java"));
             for (String word : run().substring("exec java ".length()).split(" ")) {
                 if (word.startsWith("-X") || word.startsWith("-Dio.netty") && !word.contains("$")) {
                     command.add(word);
                 }
             }
-            command.addAll(List.of("-Xlog:class+load:file=" + loaded, "-cp",
-                System.getProperty("java.class.path"), "willowyoke.Main", "serve"));
+            command.addAll(List.of(
+                    "-Xlog:class+load:file=" + loaded,
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "willowyoke.Main",
+                    "serve"));
             ProcessBuilder builder = new ProcessBuilder(command);
             builder.environment().put("EDGE_CONFIG", config.toString());
-            Process process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            try (BufferedReader log = new BufferedReader(new InputStreamReader(process.getErrorStream(),
-                StandardCharsets.UTF_8))) {
+            Process process =
+                    builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            try (BufferedReader log =
+                    new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
                 String line = log.readLine();
                 while (line != null && !line.startsWith("start, wall/CPU ms:")) {
                     line = log.readLine();
                 }
-                assertTrue(line != null && line.contains(" configuration ") && line.contains(" bind "),
-                    "the parts are told: " + line);
+                assertTrue(
+                        line != null && line.contains(" configuration ") && line.contains(" bind "),
+                        "the parts are told: " + line);
             } finally {
                 process.destroy();
                 assertTrue(process.waitFor(10, TimeUnit.SECONDS));
             }
             List<String> dear = Files.readAllLines(loaded).stream()
-                .filter(c -> NOT_AT_A_START.stream().anyMatch(c::contains)).limit(5).toList();
+                    .filter(c -> NOT_AT_A_START.stream().anyMatch(c::contains))
+                    .limit(5)
+                    .toList();
             assertEquals(List.of(), dear);
         }
     }
--- a/src/test/java/willowyoke/net/TransportTest.java
+++ b/src/test/java/willowyoke/net/TransportTest.java
@@ -9,12 +9,14 @@
 
 /** What all sockets of the node are held to. */
 class TransportTest {
-    @AfterEach void transport() {
+    @AfterEach
+    void transport() {
         Transport.epoll = Epoll.isAvailable();
     }
 
     /** A small write that the system holds back goes with a close. The library sets it, so we need not. */
-    @ParameterizedTest @ValueSource(booleans = {true, false})
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
     void nothingIsHeldBack(boolean epoll) throws Exception {
         Transport.epoll = epoll && Epoll.isAvailable();
         var socket = Transport.socket().getDeclaredConstructor().newInstance();
--- a/src/test/java/willowyoke/net/WarmupTest.java
+++ b/src/test/java/willowyoke/net/WarmupTest.java
@@ -12,23 +12,27 @@
 /** The warm-up must go the ordinary path to its end: a module that is never answered warms little. */
 class WarmupTest {
     /** On part of a core, beside others that start: what is not warm by then stays cold. */
-    @Test void itsTimeIsBounded() throws Exception {
+    @Test
+    void itsTimeIsBounded() throws Exception {
         Config config = Config.of(Json.read("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n","settings":{"rank":0,"group_size":1,
               "request_classes":[{"name":"r","effect":"read_like","aim":6,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""), Map.of());
         double[] now = {0};
         double each = Warmup.MOST_TIME / 5;
-        Warmup.run(config.settings(), (settings, seed, time, act) -> (Gateway.Events)
-            java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
-                    now[0] += method.getName().equals("arrived") ? each : 0;
-                    return null;
-                }), () -> now[0]);
+        Warmup.run(
+                config.settings(),
+                (settings, seed, time, act) -> (Gateway.Events) java.lang.reflect.Proxy.newProxyInstance(
+                        getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
+                            now[0] += method.getName().equals("arrived") ? each : 0;
+                            return null;
+                        }),
+                () -> now[0]);
         assertEquals(Warmup.MOST_TIME, now[0]);
     }
 
-    @Test void eachClassArrivesAndEnds() throws Exception {
+    @Test
+    void eachClassArrivesAndEnds() throws Exception {
         Config config = Config.of(Json.read("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n",
              "settings":{"rank":0,"group_size":1,
@@ -37,19 +41,20 @@
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""), Map.of());
         Set<String> seen = new TreeSet<>();
         int[] ended = {0};
-        Warmup.run(config.settings(), (settings, seed, now, act) -> (Gateway.Events)
-            java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
-                    if (method.getName().equals("arrived")) {
-                        Gateway.Request r = (Gateway.Request) args[1];
-                        seen.add(r.type() + " " + r.plan());
-                        act.send(r.id(), "w0", 0);
-                    } else if (method.getName().equals("ended")) {
-                        assertEquals(Gateway.Outcome.OK, args[3]);
-                        ended[0]++;
-                    }
-                    return null;
-                }));
+        Warmup.run(
+                config.settings(),
+                (settings, seed, now, act) -> (Gateway.Events) java.lang.reflect.Proxy.newProxyInstance(
+                        getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
+                            if (method.getName().equals("arrived")) {
+                                Gateway.Request r = (Gateway.Request) args[1];
+                                seen.add(r.type() + " " + r.plan());
+                                act.send(r.id(), "w0", 0);
+                            } else if (method.getName().equals("ended")) {
+                                assertEquals(Gateway.Outcome.OK, args[3]);
+                                ended[0]++;
+                            }
+                            return null;
+                        }));
         assertEquals(Set.of("r p", "w p"), seen);
         assertTrue(ended[0] >= 36, "most rounds end: " + ended[0]);
         assertTrue(ended[0] <= 40, "after a mass kill clients wait for each: " + ended[0]);
--- a/src/test/java/willowyoke/net/WatchTest.java
+++ b/src/test/java/willowyoke/net/WatchTest.java
@@ -12,7 +12,8 @@
 /** A watch that breaks off or stalls: what it had to tell may be a drain, and that has 250 ms. */
 class WatchTest extends NodeFixture {
     /** Half a line, and no end of the connection either: 5 s passed before it was taken for dead. */
-    @Test void halfALineThatStallsIsAskedForAnew() throws Exception {
+    @Test
+    void halfALineThatStallsIsAskedForAnew() throws Exception {
         start();
         String line = list(42, false, entry("s0", app.address(), "leaving"));
         watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line.substring(0, line.length() / 2));
@@ -23,13 +24,14 @@
     }
 
     /** Ten nodes killed together came up one by one, as an overbooked discovery had told each its list. */
-    @Test void aNodeThatKnowsAListListensBeforeDiscoveryAnswers() throws Exception {
+    @Test
+    void aNodeThatKnowsAListListensBeforeDiscoveryAnswers() throws Exception {
         Script script = new Script();
-        node = new Node(Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         long begun = System.nanoTime();
         node.start(); // nobody answers at discovery's address
         long took = (System.nanoTime() - begun) / 1_000_000;
@@ -50,13 +52,14 @@
     }
 
     /** What the agent has counts as told from the first moment: one quiet call at the start is waited out. */
-    @Test void aNodeWhoseFirstCallIsQuietAsksAgainBeforeItListens() throws Exception {
+    @Test
+    void aNodeWhoseFirstCallIsQuietAsksAgainBeforeItListens() throws Exception {
         Script script = new Script();
-        node = new Node(Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-            (settings, seed, now, actions) -> {
-                script.act = actions;
-                return script;
-            });
+        node = new Node(
+                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+                    script.act = actions;
+                    return script;
+                });
         Thread starting = new Thread(() -> {
             try {
                 node.start();
@@ -79,7 +82,8 @@
     }
 
     /** After a watch that worked the next comes at once, not after the wait for one that cannot be had. */
-    @Test void aWatchThatBreaksOffIsBackAtOnce() throws Exception {
+    @Test
+    void aWatchThatBreaksOffIsBackAtOnce() throws Exception {
         start();
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) { // the least of three: a busy machine only adds
@@ -97,7 +101,8 @@
     }
 
     /** What the agent has counts as told: a node that stayed away for up to 2 s heard of a drain too late. */
-    @Test void anAgentThatEndsEachWatchIsAskedAgainSoon() throws Exception {
+    @Test
+    void anAgentThatEndsEachWatchIsAskedAgainSoon() throws Exception {
         start();
         watch.close();
         for (int i = 0; i < 10; i++) {
@@ -108,10 +113,11 @@
     }
 
     /** Taken line by line an indented list was none: each watch broke on its first line, and told nothing. */
-    @Test void anIndentedListIsOneList() throws Exception {
+    @Test
+    void anIndentedListIsOneList() throws Exception {
         start();
         push("{\n  \"seq\": 42,\n  \"whole\": false,\n  \"hosts\": [\n    "
-            + entry("s0", app.address(), "leaving").replace(",", ",\n      ") + "\n  ]\n}");
+                + entry("s0", app.address(), "leaving").replace(",", ",\n      ") + "\n  ]\n}");
         push("");
         expect("changes s0 DRAINING");
         watch.close();
@@ -121,7 +127,8 @@
     }
 
     /** Asked for again and again with a version that discovery has forgotten, it was refused for ever. */
-    @Test void aVersionThatIsRefusedIsFollowedByTheWholeList() throws Exception {
+    @Test
+    void aVersionThatIsRefusedIsFollowedByTheWholeList() throws Exception {
         start();
         watch.close();
         expect("discovery failed");
@@ -134,7 +141,8 @@
     }
 
     /** A call for the list that is accepted and never answered was waited for 5 s; told it counts after 4. */
-    @Test void aCallForTheListThatIsNeverAnsweredIsMadeAnew() throws Exception {
+    @Test
+    void aCallForTheListThatIsNeverAnsweredIsMadeAnew() throws Exception {
         start();
         watch.close();
         expect("discovery failed");
--- a/src/test/java/willowyoke/scale/FleetTest.java
+++ b/src/test/java/willowyoke/scale/FleetTest.java
@@ -14,28 +14,35 @@
 class FleetTest {
     private final Shape shape = new Shape();
 
-    @BeforeEach void defaults() {
+    @BeforeEach
+    void defaults() {
         CommandLine.populateCommand(shape, "--notice-ms", "100,300");
     }
 
     private Fleet fleet(int nodes, long seed) {
-        Fleet fleet = new Fleet(shape, nodes, seed, () -> { });
+        Fleet fleet = new Fleet(shape, nodes, seed, () -> {});
         fleet.start();
         fleet.run(3000);
         return fleet;
     }
 
     private static String figures(Fleet f) {
-        return Arrays.toString(Arrays.stream(f.hosts).mapToLong(h -> h.got).toArray()) + f.served() + ' '
-            + f.counter.calls + ' ' + f.latency.getMean();
+        return Arrays.toString(Arrays.stream(f.hosts).mapToLong(h -> h.got).toArray())
+                + f.served()
+                + ' '
+                + f.counter.calls
+                + ' '
+                + f.latency.getMean();
     }
 
-    @Test void oneSeedGivesOneRun() {
+    @Test
+    void oneSeedGivesOneRun() {
         assertEquals(figures(fleet(5, 7)), figures(fleet(5, 7)));
         assertNotEquals(figures(fleet(5, 7)), figures(fleet(5, 8)));
     }
 
-    @Test void eachRequestEndsOnce() {
+    @Test
+    void eachRequestEndsOnce() {
         Fleet f = fleet(4, 1);
         f.latency.reset();
         f.run(Site.DEADLINE + 100);
@@ -46,7 +53,8 @@
     }
 
     /** What is silent or refuses gets no work done, and what drains gets none once all have heard. */
-    @Test void troublesReachTheNodes() {
+    @Test
+    void troublesReachTheNodes() {
         Fleet f = fleet(3, 1);
         f.change(List.of(f.servers.entry(0, Gateway.State.DRAINING, 0)));
         f.run(shape.notice[1] + 1);
@@ -63,29 +71,30 @@
         assertEquals(got, f.hosts[1].got);
     }
 
-    @Test void aColdServerIsSlowAtFirst() {
+    @Test
+    void aColdServerIsSlowAtFirst() {
         VirtualClock clock = new VirtualClock(0);
         HollowServer host = new HollowServer(new HollowServer.Kind(1, 0, 10), clock);
         double[] done = new double[2];
         host.take(10, () -> done[0] = clock.now());
-        clock.to(1000, () -> { });
+        clock.to(1000, () -> {});
         host.restart();
         assertEquals(null, host.take(10, () -> done[1] = clock.now()));
-        assertEquals(Gateway.Outcome.FULL, host.take(10, () -> { }));
-        clock.to(2000, () -> { });
+        assertEquals(Gateway.Outcome.FULL, host.take(10, () -> {}));
+        clock.to(2000, () -> {});
         assertEquals(10, done[0]);
         assertEquals(1000 + 10 / Site.COLD_SHARE, done[1], 1e-6);
     }
 
-    @Test void theCountersLineMakesLateCallsTimeOut() {
-        Fleet f = new Fleet(shape, 1, 1, () -> { });
+    @Test
+    void theCountersLineMakesLateCallsTimeOut() {
+        Fleet f = new Fleet(shape, 1, 1, () -> {});
         f.nodes[0].start(1);
         int most = (int) (Site.COUNTER_TIMEOUT * shape.counterRate / 1000);
         for (int i = 0; i < 2 * most; i++) {
             f.nodes[0].count(i, 1, 1000);
         }
         assertEquals(2 * most, f.counter.calls);
-        assertTrue(f.counter.late >= most / 2 && f.counter.late <= most + 2, f.counter.late + " of "
-            + 2 * most);
+        assertTrue(f.counter.late >= most / 2 && f.counter.late <= most + 2, f.counter.late + " of " + 2 * most);
     }
 }
--- a/src/test/java/willowyoke/scale/ImportRuleTest.java
+++ b/src/test/java/willowyoke/scale/ImportRuleTest.java
@@ -17,7 +17,8 @@
 class ImportRuleTest {
     private static final Pattern SCALE = Pattern.compile("willowyoke/scale|picocli|HdrHistogram");
 
-    @Test void noClassOfTheNodeNamesTheScaleRun() throws IOException {
+    @Test
+    void noClassOfTheNodeNamesTheScaleRun() throws IOException {
         Path classes = Path.of("target", "classes", "willowyoke");
         List<String> naming = new ArrayList<>();
         List<Path> all;
@@ -26,7 +27,9 @@
         }
         for (Path file : all) {
             boolean scale = file.startsWith(classes.resolve("scale"));
-            if (!scale && SCALE.matcher(Files.readString(file, StandardCharsets.ISO_8859_1)).find()) {
+            if (!scale
+                    && SCALE.matcher(Files.readString(file, StandardCharsets.ISO_8859_1))
+                            .find()) {
                 naming.add(file.toString());
             }
         }
@@ -35,14 +38,19 @@
     }
 
     /** Provided libraries are neither in the manifest's class path nor among those copied for it. */
-    @Test void theNodesJarHasNeitherThePackageNorItsLibraries() throws IOException {
+    @Test
+    void theNodesJarHasNeitherThePackageNorItsLibraries() throws IOException {
         String pom = Files.readString(Path.of("pom.xml")).replaceAll("\\s+", "");
         for (String library : List.of("picocli", "HdrHistogram")) {
-            assertTrue(Pattern.compile("<artifactId>" + library + "</artifactId><version>[^<]*</version>"
-                + "<scope>provided</scope>").matcher(pom).find(), library);
+            assertTrue(
+                    Pattern.compile("<artifactId>" + library + "</artifactId><version>[^<]*</version>"
+                                    + "<scope>provided</scope>")
+                            .matcher(pom)
+                            .find(),
+                    library);
         }
-        assertTrue(pom.contains("<id>default-jar</id><configuration><excludes>"
-            + "<exclude>willowyoke/scale/**</exclude>"));
+        assertTrue(pom.contains(
+                "<id>default-jar</id><configuration><excludes>" + "<exclude>willowyoke/scale/**</exclude>"));
         assertTrue(pom.contains("<includeScope>runtime</includeScope>"));
         assertEquals(2, pom.split("<addClasspath>", -1).length - 1);
     }
--- a/src/test/java/willowyoke/scale/StandInTest.java
+++ b/src/test/java/willowyoke/scale/StandInTest.java
@@ -30,8 +30,7 @@
         Line(InetAddress to, int port) throws IOException {
             socket = new Socket(to, port);
             socket.setSoTimeout(5000);
-            in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                StandardCharsets.US_ASCII));
+            in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         }
 
         void write(String text) throws IOException {
@@ -53,7 +52,8 @@
             return text.toString();
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -62,7 +62,8 @@
         return new Line(InetAddress.getLoopbackAddress(), port);
     }
 
-    @AfterEach void end() throws InterruptedException {
+    @AfterEach
+    void end() throws InterruptedException {
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await();
     }
 
@@ -72,40 +73,41 @@
 
     private static String entry(int server, String health) {
         return "{\"host\":\"s-0000000" + server + "\",\"dial\":\"" + dial(server) + "\",\"site\":\"zone-0\","
-            + "\"class\":\"m\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
+                + "\"class\":\"m\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     private AgentStandIn agent(boolean torn, boolean indented) throws InterruptedException {
-        return new AgentStandIn(group, 0, new Servers(2, 1), StandInTest::dial,
-            new AgentStandIn.Form(torn, indented), 1);
+        return new AgentStandIn(
+                group, 0, new Servers(2, 1), StandInTest::dial, new AgentStandIn.Form(torn, indented), 1);
     }
 
-    @Test void theAgentTellsTheWholeListAndThenItsChanges() throws Exception {
-        String whole = "{\"seq\":1,\"whole\":true,\"hosts\":[" + entry(0, "active") + ',' + entry(1,
-            "active") + "]}";
+    @Test
+    void theAgentTellsTheWholeListAndThenItsChanges() throws Exception {
+        String whole = "{\"seq\":1,\"whole\":true,\"hosts\":[" + entry(0, "active") + ',' + entry(1, "active") + "]}";
         String left = "{\"seq\":2,\"whole\":false,\"hosts\":[" + entry(1, "left") + "]}";
-        try (AgentStandIn agent = agent(false, false); Line line = to(agent.port())) {
+        try (AgentStandIn agent = agent(false, false);
+                Line line = to(agent.port())) {
             line.write("GET /catalog/members HTTP/1.1\r\nhost: a\r\n\r\n");
-            assertTrue(line.until("]}").endsWith("content-length: " + (whole.length() + 1) + "\r\n\r\n"
-                + whole));
+            assertTrue(line.until("]}").endsWith("content-length: " + (whole.length() + 1) + "\r\n\r\n" + whole));
             line.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             String head = line.until("]}");
-            assertTrue(head.contains("chunked") && head.endsWith("{\"seq\":1,\"whole\":false,\"hosts\":[]}"),
-                head);
+            assertTrue(head.contains("chunked") && head.endsWith("{\"seq\":1,\"whole\":false,\"hosts\":[]}"), head);
             agent.change(Set.of(1), Gateway.State.GONE, 0);
             assertTrue(line.until("]}").endsWith(left));
-            try (Line late = to(agent.port()); Line lost = to(agent.port())) {
+            try (Line late = to(agent.port());
+                    Line lost = to(agent.port())) {
                 late.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
                 assertTrue(late.until("]}").endsWith(left), "what changed since");
                 lost.write("GET /catalog/members?follow=1&since=77 HTTP/1.1\r\nhost: a\r\n\r\n");
-                assertTrue(lost.until("]}").endsWith("\"whole\":true,\"hosts\":[" + entry(0, "active")
-                    + "]}"));
+                assertTrue(lost.until("]}").endsWith("\"whole\":true,\"hosts\":[" + entry(0, "active") + "]}"));
             }
         }
     }
 
-    @Test void tornAndIndentedItIsTheSameList() throws Exception {
-        try (AgentStandIn agent = agent(true, true); Line line = to(agent.port())) {
+    @Test
+    void tornAndIndentedItIsTheSameList() throws Exception {
+        try (AgentStandIn agent = agent(true, true);
+                Line line = to(agent.port())) {
             line.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nhost: a\r\n\r\n");
             line.until("\r\n\r\n");
             StringBuilder text = new StringBuilder();
@@ -117,13 +119,18 @@
                 assertEquals("", line.line());
             }
             assertTrue(parts > 1, text.toString());
-            assertTrue(text.toString().replaceAll("\\s", "")
-                .contains(entry(0, "active") + ',' + entry(1, "active") + "]}"), text.toString());
+            assertTrue(
+                    text.toString()
+                            .replaceAll("\\s", "")
+                            .contains(entry(0, "active") + ',' + entry(1, "active") + "]}"),
+                    text.toString());
         }
     }
 
-    @Test void whatChangesWhileItIsSilentIsNotPushed() throws Exception {
-        try (AgentStandIn agent = agent(false, false); Line watch = to(agent.port())) {
+    @Test
+    void whatChangesWhileItIsSilentIsNotPushed() throws Exception {
+        try (AgentStandIn agent = agent(false, false);
+                Line watch = to(agent.port())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             watch.until("]}");
             agent.silence(true);
@@ -131,25 +138,28 @@
             agent.silence(false);
             agent.change(Set.of(0), Gateway.State.DRAINING, 0);
             String next = watch.until("]}");
-            assertTrue(next.endsWith("{\"seq\":3,\"whole\":false,\"hosts\":[" + entry(0, "leaving") + "]}"),
-                next);
+            assertTrue(next.endsWith("{\"seq\":3,\"whole\":false,\"hosts\":[" + entry(0, "leaving") + "]}"), next);
         }
     }
 
-    @Test void theCounterAddsAndRefusesWhatIsNoCall() throws Exception {
-        try (CounterStandIn counter = new CounterStandIn(group, 0, 1000, 0); Line line = to(counter.port())) {
-            line.write(Loops.command("CNT.ADD", "7", "2.5", "4000") + Loops.command("CNT.ADD", "7", "-1",
-                "4000")
-                + Loops.command("PING") + Loops.command("CNT.ADD", "7", "x", "1")
-                + Loops.command("CNT.ADD", "7", "1", "0") + Loops.command("SELECT", "0"));
+    @Test
+    void theCounterAddsAndRefusesWhatIsNoCall() throws Exception {
+        try (CounterStandIn counter = new CounterStandIn(group, 0, 1000, 0);
+                Line line = to(counter.port())) {
+            line.write(Loops.command("CNT.ADD", "7", "2.5", "4000")
+                    + Loops.command("CNT.ADD", "7", "-1", "4000")
+                    + Loops.command("PING")
+                    + Loops.command("CNT.ADD", "7", "x", "1")
+                    + Loops.command("CNT.ADD", "7", "1", "0")
+                    + Loops.command("SELECT", "0"));
             String bulk = "$8\r\n2.500000\r\n$8\r\n1.500000\r\n";
-            assertEquals(bulk + "+PONG\r\n-ERR no such call\r\n-ERR no such call\r\n+OK\r\n",
-                line.until("+OK\r\n"));
+            assertEquals(bulk + "+PONG\r\n-ERR no such call\r\n-ERR no such call\r\n+OK\r\n", line.until("+OK\r\n"));
             assertEquals(2, counter.calls.get());
         }
     }
 
-    @Test void placeServersShareAListenerAndAreToldApartByAddress() throws Exception {
+    @Test
+    void placeServersShareAListenerAndAreToldApartByAddress() throws Exception {
         String list = "c=read,t=p,d=200,units=1,spread=1,first=0";
         try (PlaceServers place = new PlaceServers(group, 300, 0, 0)) {
             assertEquals("127.16.1.4:" + place.port(), place.dial(260));
@@ -159,10 +169,12 @@
                 assertTrue(line.until("$-1\r\n$-1\r\n").contains("held="));
                 assertEquals(1, place.open.get(260));
                 line.write(Loops.command("CALL.GET", "00000000b4d65521", "1", "d=soon")
-                    + Loops.command("INFO", "load") + Loops.command("CLIENT", "ID") + Loops.command("HELLO",
-                    "3"));
-                assertEquals("-SYNTAX -NOPERM +OK -ERR unknown command", line.line() + ' ' + line.line() + ' '
-                    + line.line() + ' ' + line.line());
+                        + Loops.command("INFO", "load")
+                        + Loops.command("CLIENT", "ID")
+                        + Loops.command("HELLO", "3"));
+                assertEquals(
+                        "-SYNTAX -NOPERM +OK -ERR unknown command",
+                        line.line() + ' ' + line.line() + ' ' + line.line() + ' ' + line.line());
             }
             assertEquals(1, place.got.get(260));
             try (Line other = new Line(PlaceServers.address(300), place.port())) {
--- a/src/test/java/willowyoke/scale/capacity/CapacityTablesTest.java
+++ b/src/test/java/willowyoke/scale/capacity/CapacityTablesTest.java
@@ -24,7 +24,9 @@
     private static final Path RUNS = Path.of("src/test/resources/capacity/measurements.json");
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
 
-    @TempDir Path folder;
+    @TempDir
+    Path folder;
+
     private String out;
     private String err;
 
@@ -35,8 +37,10 @@
         for (Object arg : args) {
             words.add(arg.toString());
         }
-        int code = CapacityTables.run(words.toArray(new String[0]), new PrintStream(o, true,
-            StandardCharsets.UTF_8), new PrintStream(e, true, StandardCharsets.UTF_8));
+        int code = CapacityTables.run(
+                words.toArray(new String[0]),
+                new PrintStream(o, true, StandardCharsets.UTF_8),
+                new PrintStream(e, true, StandardCharsets.UTF_8));
         out = o.toString(StandardCharsets.UTF_8);
         err = e.toString(StandardCharsets.UTF_8);
         return code;
@@ -49,15 +53,20 @@
 
     /** A line of the last output by its text, its cells trimmed and joined by one bar. */
     private String line(String what) {
-        String found = out.lines().filter(l -> l.contains("| " + what + " |")).findFirst().orElse("");
+        String found = out.lines()
+                .filter(l -> l.contains("| " + what + " |"))
+                .findFirst()
+                .orElse("");
         return String.join("|", found.split("\\s*\\|\\s*"));
     }
 
-    @Test void thePageSaysWhatItsFilesGive() {
+    @Test
+    void thePageSaysWhatItsFilesGive() {
         assertEquals(0, run("--check", PAGE), () -> err);
     }
 
-    @Test void aPageThatSaysSomethingElseIsToldAndWrittenAnew() throws Exception {
+    @Test
+    void aPageThatSaysSomethingElseIsToldAndWrittenAnew() throws Exception {
         Path page = folder.resolve("page.md");
         String good = Files.readString(PAGE);
         Files.writeString(page, good.replaceFirst("\\*\\*OVER, [0-9]", "**OVER, 0"));
@@ -68,15 +77,18 @@
     }
 
     /** What the page quotes of the program is still there and the same. */
-    @Test void theProgramsConstantsAreTheProgramsOwn() throws Exception {
+    @Test
+    void theProgramsConstantsAreTheProgramsOwn() throws Exception {
         int seen = 0;
-        for (Doc d : Doc.read(Path.of("docs/capacity/model.json")).get("quantities").list()) {
+        for (Doc d :
+                Doc.read(Path.of("docs/capacity/model.json")).get("quantities").list()) {
             if (d.has("field")) {
                 String path = d.get("field").text();
                 int dot = path.lastIndexOf('.');
                 Field field = Class.forName(path.substring(0, dot)).getDeclaredField(path.substring(dot + 1));
                 field.setAccessible(true);
-                double value = ((Number) field.get(null)).doubleValue() * d.get("times").number();
+                double value = ((Number) field.get(null)).doubleValue()
+                        * d.get("times").number();
                 assertEquals(value, d.get("is").number(), 1e-9, path);
                 seen++;
             }
@@ -84,31 +96,46 @@
         assertTrue(seen > 0);
     }
 
-    @Test void aFigureIsSlopeTimesSizeWithItsRun() {
+    @Test
+    void aFigureIsSlopeTimesSizeWithItsRun() {
         fixture("node");
-        assertEquals("|now|beyond|50 ms|2.6 ms|**OVER, 19.2 x**|`m.cpu[listed=servers]`|run 2: "
-            + "0.5 us x listed + 20, **beyond** its largest, 2,000|choice: missing", line("beyond"));
-        assertEquals("|now|inside|270 us|2.6 ms|within, 10.4%|`m.cpu[listed=small]`|run 2: "
-            + "0.5 us x listed + 20|choice: missing", line("inside"));
+        assertEquals(
+                "|now|beyond|50 ms|2.6 ms|**OVER, 19.2 x**|`m.cpu[listed=servers]`|run 2: "
+                        + "0.5 us x listed + 20, **beyond** its largest, 2,000|choice: missing",
+                line("beyond"));
+        assertEquals(
+                "|now|inside|270 us|2.6 ms|within, 10.4%|`m.cpu[listed=small]`|run 2: "
+                        + "0.5 us x listed + 20|choice: missing",
+                line("inside"));
         assertTrue(line("carried on").startsWith("|now|carried on|5 cores|1 core|**OVER, 5 x**|"));
-        assertEquals("|now|a point|1 KB|-|-|`few[x@10]`|run 3: as measured at x = 10|client: present",
-            line("a point"));
-        assertEquals("|now|the last|1.1 ms|-|-|`m.cpu[listed@largest]`|run 2: as measured at listed = 2,000|"
-            + "client: present", line("the last"));
+        assertEquals("|now|a point|1 KB|-|-|`few[x@10]`|run 3: as measured at x = 10|client: present", line("a point"));
+        assertEquals(
+                "|now|the last|1.1 ms|-|-|`m.cpu[listed@largest]`|run 2: as measured at listed = 2,000|"
+                        + "client: present",
+                line("the last"));
         assertTrue(line("slope").startsWith("|now|slope|50 ms|-|-|"));
-        assertEquals("|now|assumed|13.8|-|-|`lines * guess - 1 / 4 + 2`|code lines; *assumption* guess|"
-            + "client: present", line("assumed"));
+        assertEquals(
+                "|now|assumed|13.8|-|-|`lines * guess - 1 / 4 + 2`|code lines; *assumption* guess|" + "client: present",
+                line("assumed"));
     }
 
-    @Test void whatWasNotMeasuredIsNoNumber() {
+    @Test
+    void whatWasNotMeasuredIsNoNumber() {
         fixture("node");
-        assertEquals("|now|none|not measured|500 B|not measured|`2 * none[x=small] + 1`|"
-            + "**no run yet** of none over x|client: present", line("none"));
+        assertEquals(
+                "|now|none|not measured|500 B|not measured|`2 * none[x=small] + 1`|"
+                        + "**no run yet** of none over x|client: present",
+                line("none"));
         assertTrue(line("no line").startsWith("|now|no line|not measured|-|-|"), line("no line"));
         fixture("over");
         assertFalse(out.contains("| none |"));
-        assertEquals(List.of("19.2 x", "5 x"), out.lines().skip(4).filter(l -> !l.isEmpty())
-            .map(l -> l.split("\\|")[1].strip()).toList());
+        assertEquals(
+                List.of("19.2 x", "5 x"),
+                out.lines()
+                        .skip(4)
+                        .filter(l -> !l.isEmpty())
+                        .map(l -> l.split("\\|")[1].strip())
+                        .toList());
         fixture("missing");
         assertEquals("|1|choice|missing|chooses|3|2|0", line("choice"));
         fixture("carriers");
@@ -116,24 +143,30 @@
     }
 
     /** 10, 200 and 1,000 lie on 0.6 x + 20. */
-    @Test void theLargestSizeIsForetoldByTheOthers() {
+    @Test
+    void theLargestSizeIsForetoldByTheOthers() {
         fixture("cross-check");
-        assertEquals("|CPU|listed = 2,000|1,220 us|1,100 us|10.9%|the smaller sizes|run 2",
-            line("CPU"));
+        assertEquals("|CPU|listed = 2,000|1,220 us|1,100 us|10.9%|the smaller sizes|run 2", line("CPU"));
         assertEquals("|a point|x = 20|1.5 KB|2 KB|-25%|`small * guess`|run 3", line("a point"));
         String no = "|-|not measured|not measured|not measured|the smaller sizes|";
         assertEquals("|few" + no + "no such point in run 3", line("few"));
         assertEquals("|none" + no + "**no run yet**", line("none"));
     }
 
-    @Test void runsOfOneFigureAreComparedWhereAllHaveIt() {
+    @Test
+    void runsOfOneFigureAreComparedWhereAllHaveIt() {
         fixture("compared");
         assertEquals("|m.cpu|listed = 10|run 1: 9,000 us; run 2: 26 us; run 4: 7 us|0.000778", line("m.cpu"));
-        assertEquals(1, out.lines().filter(l -> l.contains("run ") && l.contains(" us;")).count());
+        assertEquals(
+                1,
+                out.lines()
+                        .filter(l -> l.contains("run ") && l.contains(" us;"))
+                        .count());
     }
 
     /** Whole numbers as they are, and always with a point. */
-    @Test void unitsSuitTheSize() {
+    @Test
+    void unitsSuitTheSize() {
         assertEquals("29.8 MB", Figure.of(29_812_345).text("B"));
         assertEquals("1 KB/s", Figure.of(999.9).text("B/s"));
         assertEquals("1,024", Figure.of(1024).text(""));
@@ -142,7 +175,8 @@
         assertEquals("without bound", Figure.of(1).with(1 / 0.0, Figure.of(0)).text("B"));
     }
 
-    @Test void rowsMayStandOneALine() throws Exception {
+    @Test
+    void rowsMayStandOneALine() throws Exception {
         Path rows = folder.resolve("rows.json");
         String list = Files.readString(RUNS).strip();
         Files.writeString(rows, list.substring(1, list.length() - 1).replace("},\n {", "}\n{"));
@@ -154,14 +188,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '!', value = {
-        "--sort ! unknown option '--sort'",
-        "--model ! a file expected behind --model",
-        "--model nowhere.json ! nowhere.json: cannot be read",
-        "--write docs/CAPACITY.md --check docs/CAPACITY.md ! one of --write and --check, once",
-        "--check docs/CAPACITY.md node ! a page holds all tables",
-        "--check README.md ! README.md: table 'over' has no place",
-        "turbine ! no table 'turbine'"})
+    @CsvSource(
+            delimiter = '!',
+            value = {
+                "--sort ! unknown option '--sort'",
+                "--model ! a file expected behind --model",
+                "--model nowhere.json ! nowhere.json: cannot be read",
+                "--write docs/CAPACITY.md --check docs/CAPACITY.md ! one of --write and --check, once",
+                "--check docs/CAPACITY.md node ! a page holds all tables",
+                "--check README.md ! README.md: table 'over' has no place",
+                "turbine ! no table 'turbine'"
+            })
     void aBadArgumentIsOneLine(String args, String told) {
         assertEquals(2, run((Object[]) args.split(" ")));
         assertTrue(err.startsWith("capacity: " + told), err);
@@ -170,17 +207,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '!', quoteCharacter = '~', value = {
-        "\"servers\", ! \"server\", ! quantities[7]: is: 'servers' is not known here",
-        "* guess - 1 ! * guess 1 ! rows[8]: is: a name is missing in 'lines * guess 1 / 4 + 2'",
-        "* guess - ! * guess : ! rows[8]: is: one of + - * / expected, found ':'",
-        "lines * ! form.letter * ! rows[8]: is: no message form 'form.letter'",
-        "\"client\"} ! \"clerk\"} ! rows[3]: mechanism: 'clerk' is none of [choice, client]",
-        "\"state\": \"present\" ! \"state\": \"soon\" ! mechanisms[1]: state: 'soon' is none of",
-        "\"is\": 100, ! \"is\": \"100\", ! quantities[2]: is: a number expected",
-        "\"name\": \"small\" ! \"name\": \"servers\" ! quantities[1]: servers is there already",
-        "\"roles\": ! \"rolls\": ! roles: a list expected",
-        "\"roles\": ! \"roles\" ! line 16: not JSON as it should be"})
+    @CsvSource(
+            delimiter = '!',
+            quoteCharacter = '~',
+            value = {
+                "\"servers\", ! \"server\", ! quantities[7]: is: 'servers' is not known here",
+                "* guess - 1 ! * guess 1 ! rows[8]: is: a name is missing in 'lines * guess 1 / 4 + 2'",
+                "* guess - ! * guess : ! rows[8]: is: one of + - * / expected, found ':'",
+                "lines * ! form.letter * ! rows[8]: is: no message form 'form.letter'",
+                "\"client\"} ! \"clerk\"} ! rows[3]: mechanism: 'clerk' is none of [choice, client]",
+                "\"state\": \"present\" ! \"state\": \"soon\" ! mechanisms[1]: state: 'soon' is none of",
+                "\"is\": 100, ! \"is\": \"100\", ! quantities[2]: is: a number expected",
+                "\"name\": \"small\" ! \"name\": \"servers\" ! quantities[1]: servers is there already",
+                "\"roles\": ! \"rolls\": ! roles: a list expected",
+                "\"roles\": ! \"roles\" ! line 16: not JSON as it should be"
+            })
     void aBadModelIsOneLineWithItsPlace(String from, String to, String told) throws Exception {
         Path bad = folder.resolve("bad.json");
         String good = Files.readString(MODEL);
--- a/src/test/java/willowyoke/scale/soak/FaultPlanTest.java
+++ b/src/test/java/willowyoke/scale/soak/FaultPlanTest.java
@@ -14,12 +14,14 @@
         return FaultPlan.draw(new SplittableRandom(seed), 100, 1000, 31_000, 20, 30, 2);
     }
 
-    @Test void aSeedNamesOnePlan() {
+    @Test
+    void aSeedNamesOnePlan() {
         assertEquals(plan(1), plan(1));
         assertNotEquals(plan(1), plan(2));
     }
 
-    @Test void faultsStandInTheirOrderAndInTheirTime() {
+    @Test
+    void faultsStandInTheirOrderAndInTheirTime() {
         double last = 1000;
         for (FaultPlan.Fault fault : plan(3)) {
             assertTrue(fault.at() >= last && fault.at() < 31_000);
@@ -28,20 +30,29 @@
         }
     }
 
-    @Test void theyOverlapAndOfEachKindThereIsOne() {
+    @Test
+    void theyOverlapAndOfEachKindThereIsOne() {
         List<FaultPlan.Fault> all = FaultPlan.draw(new SplittableRandom(4), 1000, 0, 300_000, 20, 30, 2);
         for (FaultPlan.Kind kind : FaultPlan.Kind.values()) {
             assertTrue(all.stream().anyMatch(f -> f.kind() == kind), kind.toString());
         }
-        long overlapping = all.stream().filter(one -> all.stream().anyMatch(other -> other != one
-            && other.at() < one.at() + one.duration() && one.at() < other.at() + other.duration())).count();
+        long overlapping = all.stream()
+                .filter(one -> all.stream()
+                        .anyMatch(other -> other != one
+                                && other.at() < one.at() + one.duration()
+                                && one.at() < other.at() + other.duration()))
+                .count();
         assertTrue(overlapping > 900, "overlapping: " + overlapping);
     }
 
-    @Test void aSettingIsDrawnWithWhatAKillGoesBy() {
+    @Test
+    void aSettingIsDrawnWithWhatAKillGoesBy() {
         for (int seed = 0; seed < 50; seed++) {
             SoakSettings settings = new SoakSettings(12, new SplittableRandom(seed));
-            double longest = settings.classes().stream().mapToDouble(c -> c.deadline()).max().orElseThrow();
+            double longest = settings.classes().stream()
+                    .mapToDouble(c -> c.deadline())
+                    .max()
+                    .orElseThrow();
             assertEquals(Math.min(longest, 3000) + 750, settings.earliestKill());
             assertEquals(settings.toString(), new SoakSettings(12, new SplittableRandom(seed)).toString());
         }
--- a/src/test/java/willowyoke/scale/soak/FaultProxyTest.java
+++ b/src/test/java/willowyoke/scale/soak/FaultProxyTest.java
@@ -25,7 +25,8 @@
     private Socket near;
     private Socket far;
 
-    @BeforeEach void connect() throws IOException {
+    @BeforeEach
+    void connect() throws IOException {
         listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         proxy = new FaultProxy(new InetSocketAddress("127.0.0.1", listener.getLocalPort()));
         near = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
@@ -33,7 +34,8 @@
         pass();
     }
 
-    @AfterEach void end() throws IOException {
+    @AfterEach
+    void end() throws IOException {
         proxy.close();
         near.close();
         far.close();
@@ -53,7 +55,8 @@
         at.setSoTimeout(0);
     }
 
-    @Test void answersAreHeldAndComeWhenTheModeEnds() throws IOException {
+    @Test
+    void answersAreHeldAndComeWhenTheModeEnds() throws IOException {
         proxy.mode(FaultProxy.Mode.HOLD_ANSWERS);
         near.getOutputStream().write('q');
         assertEquals('q', far.getInputStream().read());
@@ -63,7 +66,8 @@
         assertEquals('a', near.getInputStream().read());
     }
 
-    @Test void inSilenceNothingPasses() throws IOException {
+    @Test
+    void inSilenceNothingPasses() throws IOException {
         proxy.mode(FaultProxy.Mode.SILENT);
         near.getOutputStream().write('q');
         nothingComes(far);
@@ -71,17 +75,20 @@
         assertEquals('q', far.getInputStream().read());
     }
 
-    @Test void newConnectionsAreReset() throws IOException {
+    @Test
+    void newConnectionsAreReset() throws IOException {
         proxy.mode(FaultProxy.Mode.RESET_NEW);
         assertThrows(SocketException.class, () -> {
-            try (Socket next = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort())) {
+            try (Socket next =
+                    new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort())) {
                 next.getInputStream().read();
             }
         });
         pass(); // those that are open are left alone
     }
 
-    @Test void openConnectionsAreResetOnBothSides() {
+    @Test
+    void openConnectionsAreResetOnBothSides() {
         proxy.resetAll();
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> far.getInputStream().read());
--- a/src/test/java/willowyoke/scale/soak/OracleTest.java
+++ b/src/test/java/willowyoke/scale/soak/OracleTest.java
@@ -21,8 +21,12 @@
     private double lag;
 
     private static ClientRequest request(Gateway.Effect effect, ClientRequest.End end, double ended) {
-        ClientRequest request = new ClientRequest("01", 0, 0, new Gateway.RequestClass("c", effect,
-            Gateway.Group.CELL, 500, 1000, 1, 0, WINDOW, false), 1000);
+        ClientRequest request = new ClientRequest(
+                "01",
+                0,
+                0,
+                new Gateway.RequestClass("c", effect, Gateway.Group.CELL, 500, 1000, 1, 0, WINDOW, false),
+                1000);
         request.sent = 10_000;
         request.end = end;
         request.ended = ended;
@@ -44,109 +48,123 @@
     }
 
     private List<String> rules(ClientRequest request) {
-        return Oracle.check(new Oracle.Seen(List.of(request), id -> attempts, Map.of(0, lives), news,
-            discoveryFaults, at -> lag), new Servers(30, 3), GRACE).stream().map(Violation::rule).toList();
+        return Oracle.check(
+                        new Oracle.Seen(
+                                List.of(request), id -> attempts, Map.of(0, lives), news, discoveryFaults, at -> lag),
+                        new Servers(30, 3),
+                        GRACE)
+                .stream()
+                .map(Violation::rule)
+                .toList();
     }
 
     private List<String> rules(ClientRequest.End end, double ended) {
         return rules(request(Gateway.Effect.SAFE, end, ended));
     }
 
-    @Test void whatIsServedInTimeBreaksNothing() {
+    @Test
+    void whatIsServedInTimeBreaksNothing() {
         attempt(1, 10_010, 10_050, true);
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_060));
     }
 
-    @Test void wrongMissingAndLateAnswersAreLost() {
+    @Test
+    void wrongMissingAndLateAnswersAreLost() {
         assertEquals(List.of("lost, wrong value"), rules(ClientRequest.End.WRONG_VALUE, 10_100));
         assertEquals(List.of("lost, no answer"), rules(ClientRequest.End.NO_ANSWER, 12_000));
         assertEquals(List.of(), rules(ClientRequest.End.FAILED, 11_640));
         assertEquals(List.of("lost, late answer"), rules(ClientRequest.End.FAILED, 11_660));
     }
 
-    @Test void whatTheRunItselfMayHaveNotedLateIsNoFault() {
+    @Test
+    void whatTheRunItselfMayHaveNotedLateIsNoFault() {
         lag = 300;
         assertEquals(List.of(), rules(ClientRequest.End.FAILED, 11_940));
         assertEquals(List.of("lost, late answer"), rules(ClientRequest.End.FAILED, 11_960));
     }
 
-    @Test void theWaitForAnswersBeforeOneDoesNotCount() {
+    @Test
+    void theWaitForAnswersBeforeOneDoesNotCount() {
         ClientRequest request = request(Gateway.Effect.SAFE, ClientRequest.End.FAILED, 15_600);
         request.turn = 15_000;
         assertEquals(List.of(), rules(request));
     }
 
-    @Test void aConnectionThatTheNodeEndsOverAForwardedRequestIsALoss() {
+    @Test
+    void aConnectionThatTheNodeEndsOverAForwardedRequestIsALoss() {
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_300), "it crossed");
         assertEquals(List.of("lost, read and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_500));
         attempt(1, 10_010, 10_300, true);
-        assertEquals(List.of("lost, forwarded and closed"),
-            rules(ClientRequest.End.CONNECTION_ENDED, 10_300));
+        assertEquals(List.of("lost, forwarded and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_300));
     }
 
-    @Test void aKillWithNoWordExcusesAndAnEarlierOneDoesNot() {
+    @Test
+    void aKillWithNoWordExcusesAndAnEarlierOneDoesNot() {
         attempt(1, 10_010, 10_800, true);
         ProcessLife life = life(Double.POSITIVE_INFINITY, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
         life.killed = 9000;
-        assertEquals(List.of("lost, forwarded and closed"),
-            rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
+        assertEquals(List.of("lost, forwarded and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
     }
 
-    @Test void theKillOfAShutdownExcusesWhatCameSoonAfterTheSignal() {
+    @Test
+    void theKillOfAShutdownExcusesWhatCameSoonAfterTheSignal() {
         attempt(1, 10_010, 10_800, true);
         ProcessLife life = life(9_400, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
         life.terminated = 9_200;
-        assertEquals(List.of("lost at the kill of a shutdown"),
-            rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
+        assertEquals(List.of("lost at the kill of a shutdown"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
     }
 
-    @Test void copiesAndDuplicatesAreSeen() {
+    @Test
+    void copiesAndDuplicatesAreSeen() {
         attempt(1, 10_010, 10_500, true);
         attempt(2, 10_300, 10_600, true);
         assertEquals(List.of("copy, two attempts out"), rules(ClientRequest.End.SERVED, 10_610));
         attempts.remove(1);
         attempt(2, 10_600, 10_700, true);
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_710), "safe, one behind the other");
-        assertEquals(List.of("duplicate, unsafe"),
-            rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.SERVED, 10_710)));
+        assertEquals(
+                List.of("duplicate, unsafe"), rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.SERVED, 10_710)));
         assertEquals(List.of(), rules(request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710)));
         attempts.remove(1);
         attempt(9, 10_600, 10_700, true);
-        assertEquals(List.of("duplicate, in another group"),
-            rules(request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710)));
+        assertEquals(
+                List.of("duplicate, in another group"),
+                rules(request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710)));
         attempts.remove(1);
         attempt(9, 10_600, 10_700, false);
-        assertEquals(List.of(), rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.FAILED, 10_710)),
-            "turned away");
+        assertEquals(List.of(), rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.FAILED, 10_710)), "turned away");
     }
 
-    @Test void aKeyedRepeatBehindTheWindowIsADuplicate() {
+    @Test
+    void aKeyedRepeatBehindTheWindowIsADuplicate() {
         attempt(1, 10_010, 10_100, true);
         attempt(1, 12_200, 12_300, true);
         ClientRequest request = request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710);
         assertEquals("duplicate, behind the window", rules(request).get(0));
     }
 
-    @Test void whatBeginsAfterItsClientHasLeftOrIsToldTooMuchIsSeen() {
+    @Test
+    void whatBeginsAfterItsClientHasLeftOrIsToldTooMuchIsSeen() {
         attempt(1, 10_400, 10_450, true);
         assertEquals(List.of(), rules(ClientRequest.End.CLIENT_LEFT, 10_200));
-        assertEquals(List.of("lost, sent after the client had gone"),
-            rules(ClientRequest.End.CLIENT_LEFT, 10_100));
+        assertEquals(List.of("lost, sent after the client had gone"), rules(ClientRequest.End.CLIENT_LEFT, 10_100));
         attempts.clear();
         attempt(1, 10_801, 10_850, true);
-        assertEquals(List.of("deadline, told more than is left"),
-            rules(ClientRequest.End.SERVED, 10_860), "500 are told, 199 are left");
+        assertEquals(
+                List.of("deadline, told more than is left"),
+                rules(ClientRequest.End.SERVED, 10_860),
+                "500 are told, 199 are left");
     }
 
-    @Test void aDrainingServerGetsNothingNew() {
+    @Test
+    void aDrainingServerGetsNothingNew() {
         attempt(1, 10_010, 10_100, true);
         news.add(new ServerNews(1, 9_400, 20_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "within the grace and a hold-up");
         news.set(0, new ServerNews(1, 9_000, 20_000));
-        assertEquals(List.of("drain, sent to s1 told of at 9000"),
-            rules(ClientRequest.End.SERVED, 10_110));
+        assertEquals(List.of("drain, sent to s1 told of at 9000"), rules(ClientRequest.End.SERVED, 10_110));
         news.set(0, new ServerNews(1, 9_000, 10_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "it was back");
         news.set(0, new ServerNews(1, 9_000, 20_000));
