--- a/src/main/java/willowyoke/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -8,18 +8,23 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import willowyoke.net.Config;
-import willowyoke.net.Node;
-import willowyoke.net.Rehearsal;
-import willowyoke.net.StartLog;
-import willowyoke.net.Warmup;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.InvalidSettingException;
+import quotagateway.node.GatewayNode;
+import quotagateway.node.ReloadSignal;
+import quotagateway.policy.Policy;
+import quotagateway.simulator.MalformedInputException;
+import quotagateway.simulator.SimulatorHost;
+import quotagateway.startup.JitWarmup;
+import quotagateway.startup.StartupRecording;
+import quotagateway.startup.StartupTimeline;
 
 /**
- * The command line: {@code drill} speaks the simulator's wire, {@code serve} is a real edge node, and
- * {@code rehearse} starts one at build time for the archive of classes.
+ * The command line: {@code simulate} speaks the simulator's wire, {@code serve} is a real edge node, and
+ * {@code record-startup} starts one at build time for the archive of classes.
  */
 public final class Main {
-    private static final Hangup HANGUP = new Hangup();
+    private static final ReloadSignal HANGUP = new ReloadSignal();
 
     private Main() {}
 
@@ -30,19 +35,19 @@
             serve();
             return;
         }
-        if (args.length == 1 && args[0].equals("rehearse")) {
-            rehearse();
+        if (args.length == 1 && args[0].equals("record-startup")) {
+            recordStartup();
             return;
         }
-        if (args.length != 1 || !args[0].equals("drill")) {
-            System.err.println("usage: willowyoke drill | serve | rehearse");
+        if (args.length != 1 || !args[0].equals("simulate")) {
+            System.err.println("usage: quota-gateway serve | simulate | record-startup");
             System.exit(2);
         }
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
         PrintStream out = new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false);
         try {
-            new Wire().run(in, out);
-        } catch (Wire.Malformed bad) {
+            new SimulatorHost().run(in, out);
+        } catch (MalformedInputException bad) {
             System.err.println(bad.getMessage());
             System.exit(1);
         }
@@ -50,45 +55,45 @@
     }
 
     private static void serve() throws IOException {
-        StartLog.ended("JVM");
+        StartupTimeline.ended("JVM");
         begin(System.getenv());
     }
 
     /** The same start among stand-ins, and the same end. */
-    private static void rehearse() throws IOException {
-        try (Rehearsal stage = new Rehearsal()) {
+    private static void recordStartup() throws IOException {
+        try (StartupRecording stage = new StartupRecording()) {
             HANGUP.caught();
-            StartLog.ended("JVM");
+            StartupTimeline.ended("JVM");
             stage.ask(begin(stage.environment()));
             System.exit(0); // the archive is written at the exit, after the drain
         }
     }
 
-    private static Node begin(Map<String, String> environment) throws IOException {
+    private static GatewayNode begin(Map<String, String> environment) throws IOException {
         // at once: else Netty looks through all jars for three other loggers that are not there
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        Config config;
+        GatewayConfig config;
         try {
-            config = Config.fromEnvironment(environment);
-        } catch (IllegalArgumentException | SettingsReader.Bad bad) {
+            config = GatewayConfig.fromEnvironment(environment);
+        } catch (IllegalArgumentException | InvalidSettingException bad) {
             System.err.println("configuration: " + bad.getMessage());
             System.exit(2);
             return null;
         }
-        StartLog.ended("configuration");
-        Warmup.run(config.settings(), Decide::new);
-        StartLog.ended("warm-up");
-        Node node = new Node(config, Decide::new);
+        StartupTimeline.ended("configuration");
+        JitWarmup.run(config.settings(), Policy::new);
+        StartupTimeline.ended("warm-up");
+        GatewayNode node = new GatewayNode(config, Policy::new);
         Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain")); // SIGTERM may cross the bind
         // before the bind: who sees the node come up may send the signal in that moment
-        HANGUP.to(() -> node.reload(() -> Config.again(System.getenv())));
+        HANGUP.to(() -> node.reload(() -> GatewayConfig.again(System.getenv())));
         try {
-            node.start(StartLog.spent());
+            node.start(StartupTimeline.spent());
         } catch (IOException bad) {
             System.err.println("start: " + bad.getMessage());
             Runtime.getRuntime().halt(1); // nothing was taken: there is nothing to drain
         }
-        StartLog.tell("bind");
+        StartupTimeline.tell("bind");
         return node;
     }
 }
--- a/src/main/java/willowyoke/net/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -33,16 +33,19 @@
 import java.net.SocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import quotagateway.node.GatewayNode;
+import quotagateway.transport.AcceptFailureHandler;
+import quotagateway.transport.Transport;
 
 /**
  * The operators' door: HTTP/1.1, one call a connection. It shares the node's loop and its sockets, so all of
  * it is bounded: who says nothing, or half a call, gives way to the next caller and is ended soon anyway.
  */
-final class AdminServer {
-    static final String HEALTH = "/admin/health";
-    static final String STATS = "/admin/stats";
+public final class AdminServer {
+    public static final String HEALTH = "/admin/health";
+    public static final String STATS = "/admin/stats";
     private static final String CORDON = "/admin/cordon/";
-    static final String UNCORDON = "/admin/uncordon/";
+    public static final String UNCORDON = "/admin/uncordon/";
     private static final int BACKLOG = 128;
     /** Calls are short, and so is every head that a sane caller sends (bytes). */
     private static final int LINE = 1024;
@@ -50,24 +53,24 @@
     private static final int HEAD = 4096;
     private static final int BODY = 1024;
     /** So many callers at a time: scrapes and calls by hand are few, and the sockets are the clients'. */
-    static final int MOST = 16;
+    public static final int MOST = 16;
     /** From accept to the end of a connection (ms); an answer is due within 1 s. */
     private static final double LIFE = 2000;
 
     private static final String TEXT = "text/plain; charset=utf-8";
 
-    private final Node node;
+    private final GatewayNode node;
     /** Those that have sent no whole call yet, the oldest first, and all. */
     private final Set<SocketChannel> silent = new LinkedHashSet<>();
 
     private final Set<SocketChannel> open = new LinkedHashSet<>();
 
-    AdminServer(Node node) {
+    public AdminServer(GatewayNode node) {
         this.node = node;
     }
 
     /** Binds, and tells where; throws where the address cannot be had. */
-    SocketAddress bind(EventLoopGroup group, InetSocketAddress address) throws IOException {
+    public SocketAddress bind(EventLoopGroup group, InetSocketAddress address) throws IOException {
         try {
             return new ServerBootstrap()
                     .group(group)
@@ -78,7 +81,7 @@
                         @Override
                         protected void initChannel(ServerSocketChannel channel) {
                             channel.pipeline()
-                                    .addLast(new AcceptFailure(
+                                    .addLast(new AcceptFailureHandler(
                                             node, () -> channel.config().setAutoRead(true)));
                         }
                     })
@@ -188,7 +191,7 @@
             }
         }
 
-        private void cordoned(Cordons.Result result) {
+        private void cordoned(CordonResult result) {
             switch (result) {
                 case DONE -> answer(HttpResponseStatus.OK, "done\n");
                 case UNKNOWN -> answer(HttpResponseStatus.NOT_FOUND, "no list has named it\n");
--- a/src/main/java/willowyoke/net/Metrics.java
+++ b/src/main/java/quotagateway/admin/Metrics.java
@@ -1,54 +1,48 @@
-package willowyoke.net;
+package quotagateway.admin;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import willowyoke.Gateway;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.Invariant;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.lifecycle.SendDenial;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.policy.api.RequestClass;
 
 /**
  * What the node has done, as Prometheus reads it. The counts begin with the process. The loop alone counts
  * and reads; gauges are no state of this class, they are told when the text is written.
  */
-final class Metrics {
-    /** How a request has ended for its client; one that the client abandoned is counted nowhere. */
-    enum Outcome {
-        FULFILLED("fulfilled"),
-        THROTTLED("throttled"),
-        FAULTED("faulted");
-
-        private final String label;
-
-        Outcome(String label) {
-            this.label = label;
-        }
-    }
+public final class Metrics {
 
     static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     private static final String PREFIX = "edge_edge_";
-    private static final Outcome[] OUTCOMES = Outcome.values();
+    private static final RequestOutcome[] OUTCOMES = RequestOutcome.values();
 
     private final List<String> classes = new ArrayList<>();
     private final long[][] operations;
     private long relayed;
     /** Counts by reason stand in the text from their first one on. */
-    private final Map<Gateway.EndReason, Long> refusals = new EnumMap<>(Gateway.EndReason.class);
+    private final Map<FailureReason, Long> refusals = new EnumMap<>(FailureReason.class);
 
-    private final Map<Gateway.EndReason, Long> failures = new EnumMap<>(Gateway.EndReason.class);
-    private final Map<Gateway.Outcome, Long> retries = new EnumMap<>(Gateway.Outcome.class);
-    private final Map<LifecycleGuard.Denial, Long> denials = new EnumMap<>(LifecycleGuard.Denial.class);
-    private final Map<LifecycleGuard.Invariant, Long> violations = new EnumMap<>(LifecycleGuard.Invariant.class);
+    private final Map<FailureReason, Long> failures = new EnumMap<>(FailureReason.class);
+    private final Map<CallOutcome, Long> retries = new EnumMap<>(CallOutcome.class);
+    private final Map<SendDenial, Long> denials = new EnumMap<>(SendDenial.class);
+    private final Map<Invariant, Long> violations = new EnumMap<>(Invariant.class);
     private final Map<CloseReason, Long> clientCloses = new EnumMap<>(CloseReason.class);
     private final Map<CloseReason, Long> serverCloses = new EnumMap<>(CloseReason.class);
 
-    Metrics(List<Gateway.RequestClass> told) {
+    public Metrics(List<RequestClass> told) {
         told.forEach(c -> classes.add(c.name()));
         operations = new long[classes.size()][OUTCOMES.length];
     }
 
     /** A request has its one answer. A class that the settings lack would be a label of a client's making. */
-    void ended(String type, Outcome outcome) {
+    public void ended(String type, RequestOutcome outcome) {
         int i = classes.indexOf(type);
         if (i >= 0) {
             operations[i][outcome.ordinal()]++;
@@ -56,45 +50,45 @@
     }
 
     /** An attempt's last byte is written. */
-    void relayed() {
+    public void relayed() {
         relayed++;
     }
 
     /** A request was refused or failed, for this reason; null where the module told none. */
-    void unserved(Outcome outcome, Gateway.EndReason reason) {
+    public void unserved(RequestOutcome outcome, FailureReason reason) {
         if (reason != null) {
-            (outcome == Outcome.THROTTLED ? refusals : failures).merge(reason, 1L, Long::sum);
+            (outcome == RequestOutcome.THROTTLED ? refusals : failures).merge(reason, 1L, Long::sum);
         }
     }
 
     /** A further attempt goes out behind one that ended so. */
-    void retried(Gateway.Outcome after) {
+    public void retried(CallOutcome after) {
         retries.merge(after, 1L, Long::sum);
     }
 
     /** An attempt was not written after all. */
-    void denied(LifecycleGuard.Denial denial) {
+    public void denied(SendDenial denial) {
         denials.merge(denial, 1L, Long::sum);
     }
 
     /** What should hold at any time did not. */
-    void violated(LifecycleGuard.Invariant invariant) {
+    public void violated(Invariant invariant) {
         violations.merge(invariant, 1L, Long::sum);
     }
 
-    void clientClosed(CloseReason reason) {
+    public void clientClosed(CloseReason reason) {
         clientCloses.merge(reason, 1L, Long::sum);
     }
 
-    void serverClosed(CloseReason reason) {
+    public void serverClosed(CloseReason reason) {
         serverCloses.merge(reason, 1L, Long::sum);
     }
 
-    String text(int openRequests, int registryEntries, int outOfRotation) {
+    public String text(int openRequests, int registryEntries, int outOfRotation) {
         StringBuilder text = new StringBuilder();
         head(text, "operations_total", "counter", "Requests ended, by class and outcome.");
         for (int i = 0; i < classes.size(); i++) {
-            for (Outcome outcome : OUTCOMES) {
+            for (RequestOutcome outcome : OUTCOMES) {
                 text.append(PREFIX)
                         .append("operations_total{priority=\"")
                         .append(escaped(classes.get(i)))
--- a/src/main/java/willowyoke/net/Call.java
+++ b/src/main/java/quotagateway/client/ClientCommand.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.client;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
@@ -7,10 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import willowyoke.Gateway;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.resp.Resp;
 
 /** A client's call as read: what the module is told of it, and its list of names and values round d. */
-record Call(
+public record ClientCommand(
         String customer,
         String id,
         String type,
@@ -36,7 +39,7 @@
     private static final Pattern WAIT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     /** Throws IllegalArgumentException with what is wrong; sets and units are held against the settings. */
-    static Call of(ArrayRedisMessage command, Gateway.Settings settings) {
+    public static ClientCommand of(ArrayRedisMessage command, PolicySettings settings) {
         List<RedisMessage> parts = command.children();
         if (parts.size() <= LIST || parts.size() > BODY + 1) {
             throw new IllegalArgumentException("wrong number of arguments");
@@ -91,20 +94,21 @@
             throw new IllegalArgumentException("c, t and d are needed");
         }
         if (units < 1
-                || units > settings.mostUnits()
+                || units > settings.maxUnits()
                 || spread < 1
-                || spread > settings.nodes()
-                || first >= settings.nodes()) {
+                || spread > settings.nodeCount()
+                || first >= settings.nodeCount()) {
             throw new IllegalArgumentException("units or set out of range");
         }
         boolean get = Resp.text(parts.get(0)).endsWith("GET");
-        for (Gateway.RequestClass c : settings.classes()) {
+        for (RequestClass c : settings.requestClasses()) {
             if (c.name().equals(type)
-                    && (get != (c.effect() == Gateway.Effect.SAFE) || c.effect() == Gateway.Effect.KEYED && !keyed)) {
+                    && (get != (c.idempotency() == Idempotency.IDEMPOTENT)
+                            || c.idempotency() == Idempotency.IDEMPOTENCY_KEY && !keyed)) {
                 throw new IllegalArgumentException("not the command of this class, or no k");
             }
         }
-        return new Call(
+        return new ClientCommand(
                 customer,
                 id,
                 type,
@@ -126,7 +130,7 @@
     }
 
     /** The command as it goes on: unchanged, but d tells what is left. */
-    ArrayRedisMessage forward(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
+    public ArrayRedisMessage forward(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
         List<RedisMessage> parts = new ArrayList<>(command.children().size());
         for (int i = 0; i < command.children().size(); i++) {
             parts.add(
--- a/src/main/java/willowyoke/net/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -26,10 +26,19 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import willowyoke.Gateway;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.log.NodeEvent;
+import quotagateway.node.ActiveRequest;
+import quotagateway.node.GatewayNode;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.resp.Resp;
+import quotagateway.streaming.RequestBody;
+import quotagateway.streaming.StreamedResponse;
+import quotagateway.transport.AcceptFailureHandler;
+import quotagateway.transport.Transport;
 
 /** Clients' connections: commands in, answers out in the order of the commands. */
-final class ClientListener {
+public final class ClientListener {
     /** So many commands unanswered on one connection are enough: it is read on when some are answered. */
     private static final int PIPELINED = 256;
     /** A client that does not close its side after ours has ended is cut off after this (ms). */
@@ -62,7 +71,7 @@
     /** A connection that has sent nothing is let wait for its first command so long (ms) at the end. */
     private static final double FIRST_COMMAND = 1000;
 
-    private final Node node;
+    private final GatewayNode node;
     private volatile int most;
     private final Set<Connection> open = new LinkedHashSet<>();
     /** Those that have sent no whole command yet, the oldest first. */
@@ -78,14 +87,14 @@
     private long connections;
     private boolean full;
 
-    ClientListener(Node node, int most) {
+    public ClientListener(GatewayNode node, int most) {
         this.node = node;
         this.most = most;
         shared = new ReadAhead.Shared(node);
     }
 
     /** Binds; null where the node has been told to end, and throws where the address cannot be had. */
-    SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
+    public SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
                 .channel(Transport.listener())
@@ -101,7 +110,8 @@
                             return;
                         }
                         listener = channel; // on the loop: a client may come before bind has returned
-                        channel.pipeline().addLast(new Queue(), new AcceptFailure(node, ClientListener.this::accept));
+                        channel.pipeline()
+                                .addLast(new Queue(), new AcceptFailureHandler(node, ClientListener.this::accept));
                     }
                 })
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.toTheEnd())
@@ -131,7 +141,7 @@
     }
 
     /** Whether it listens, or did. */
-    boolean hasListened() {
+    public boolean hasListened() {
         return listener != null;
     }
 
@@ -158,11 +168,11 @@
     }
 
     /** From now on so many connections are held at the most. */
-    void bound(int connections) {
+    public void bound(int connections) {
         most = connections;
     }
 
-    void start() {
+    public void start() {
         node.after(SWEEP, this::sweep);
     }
 
@@ -203,7 +213,7 @@
     }
 
     /** Connections that are held beyond the bound while it is looked for one to make room. */
-    static int beyond(int most) {
+    public static int beyond(int most) {
         return Math.max(1, most / 16);
     }
 
@@ -230,7 +240,7 @@
     }
 
     /** From now on each connection ends behind its next answer. */
-    void close() {
+    public void close() {
         closing = true;
     }
 
@@ -238,7 +248,7 @@
      * Ends the connections that are between requests. Where a command has begun, or may well be on its way on
      * a new connection, it is let come: ended on it, the client would have to ask elsewhere.
      */
-    void closeIdle() {
+    public void closeIdle() {
         if (!open.isEmpty()) {
             node.after(LEAVING_SWEEP, this::closeIdle); // first: a fault below does not end the looks
         }
@@ -253,14 +263,14 @@
      * Ends each connection that has no request open, as the process is about to end: half a command is told
      * so, for its client would never hear what becomes of the rest.
      */
-    void endAll() {
+    public void endAll() {
         for (Connection c : open.toArray(new Connection[0])) {
             c.endNow();
         }
     }
 
     /** Listens no more, from the next moment on at which no connection waits to be accepted. */
-    void unbind() {
+    public void unbind() {
         unbinding = true;
         listener.config().setAutoRead(true);
         node.after(QUIET, this::closeWhenEmpty);
@@ -278,24 +288,24 @@
         });
     }
 
-    boolean idle() {
+    public boolean idle() {
         return open.isEmpty() && leaving.isEmpty();
     }
 
     /** Reads on where connections were held back for memory. */
-    void resume() {
+    public void resume() {
         for (Connection c : open.toArray(new Connection[0])) {
             c.hold();
         }
     }
 
     /** The place of one command's answer on its connection. */
-    static final class Slot {
+    public static final class Slot {
         private final Connection connection;
         private RedisMessage answer;
-        private ValueStream stream;
+        private StreamedResponse stream;
         private final int commandsBefore;
-        Node.Request request;
+        public ActiveRequest request;
 
         private Slot(Connection connection) {
             this.connection = connection;
@@ -303,43 +313,43 @@
         }
 
         /** Gives the one answer; it is written once those before it are. */
-        void answer(RedisMessage message) {
+        public void answer(RedisMessage message) {
             answer = message;
             stream = null;
             connection.drain();
         }
 
         /** The answer comes bit by bit, from its turn on. */
-        void stream(ValueStream value) {
+        public void stream(StreamedResponse value) {
             stream = value;
             connection.drain();
         }
 
         /** The rest of it does not come: an end of the connection is the only way to tell the client. */
-        void brokenOff() {
+        public void brokenOff() {
             stream = null;
             connection.breakOff();
         }
 
         /** Its last bit is written. */
-        void streamed() {
+        public void streamed() {
             connection.slots.remove(this);
             stream = null;
             connection.drain();
         }
 
         /** Names the connection in the event log. */
-        long connection() {
+        public long connection() {
             return connection.number;
         }
 
         /** How old (ms) the connection is. */
-        double connectionAge() {
+        public double connectionAge() {
             return connection.age();
         }
 
         /** Whole commands that came on the connection before this one. */
-        int commandsBefore() {
+        public int commandsBefore() {
             return commandsBefore;
         }
 
@@ -349,7 +359,7 @@
         }
 
         /** The client has gone, also where that has not been told yet: a round may bring many ends. */
-        boolean isClosed() {
+        public boolean isClosed() {
             return !connection.channel.isActive();
         }
     }
@@ -368,7 +378,7 @@
         /** Since when a whole command is waited for; never where none has begun. */
         private double silentFrom = bornAt;
         /** The large value that comes, and its command until enough has come to take that. */
-        private Body body;
+        private RequestBody body;
 
         private Slot bodySlot;
         private ArrayRedisMessage bodyCommand;
@@ -430,7 +440,7 @@
             }
         }
 
-        private void take(Slot slot, ArrayRedisMessage command, Body with) {
+        private void take(Slot slot, ArrayRedisMessage command, RequestBody with) {
             String wrong = node.take(slot, command, with);
             if (wrong != null) {
                 slot.answer(new ErrorRedisMessage("ERR " + wrong));
@@ -452,14 +462,14 @@
             if (deaf) {
                 return false;
             }
-            body = new Body(length, node.now(), this::hold);
+            body = new RequestBody(length, node.now(), this::hold);
             bodyOwned = false;
             return true;
         }
 
         @Override
         public void content(ByteBuf part, boolean last) {
-            Body b = body;
+            RequestBody b = body;
             if (last) {
                 body = null;
             }
@@ -631,7 +641,7 @@
             open.remove(this);
             silent.remove(this);
             leaving.remove(this);
-            node.clientClosed(new Event.ClientClosed(number, closeReason, age(), commands, slots.size()));
+            node.clientClosed(new NodeEvent.ClientClosed(number, closeReason, age(), commands, slots.size()));
             abandon();
             room();
             node.flush();
@@ -676,7 +686,7 @@
                 slots.add(last);
                 for (Slot slot : slots.toArray(new Slot[0])) {
                     if (slot.request != null) {
-                        node.giveUp(slot.request, Gateway.EndReason.CONNECTION_MALFORMED);
+                        node.giveUp(slot.request, FailureReason.CONNECTION_MALFORMED);
                     }
                 }
                 last.answer(new ErrorRedisMessage("ERR " + what));
--- a/src/main/java/willowyoke/net/ReadAhead.java
+++ b/src/main/java/quotagateway/client/ReadAhead.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -7,6 +7,8 @@
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import quotagateway.node.GatewayNode;
+import quotagateway.transport.Transport;
 
 /**
  * First on a client's connection: it is read on while its commands are held back, within a bound, as the
@@ -21,12 +23,12 @@
 
     /** What the connections of one listener have in common. */
     static final class Shared {
-        private final Node node;
+        private final GatewayNode node;
         private final Set<ReadAhead> stopped = new LinkedHashSet<>();
         private long kept;
         private boolean waiting;
 
-        Shared(Node node) {
+        Shared(GatewayNode node) {
             this.node = node;
         }
 
--- a/src/main/java/willowyoke/net/Config.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.config;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,15 +9,15 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.StringJoiner;
-import willowyoke.Gateway;
-import willowyoke.SettingsReader;
+import quotagateway.discovery.EndpointListParser;
+import quotagateway.policy.api.PolicySettings;
 
 /**
  * What this edge node is told at its start. The times are milliseconds; counter, control and known are null
  * where it is told none. The folder is the one place where it may write; servers is the length of the longest
- * list that its memory bears, see {@link ListReader#most}.
+ * list that its memory bears, see {@link EndpointListParser#most}.
  */
-public record Config(
+public record GatewayConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -27,7 +27,7 @@
         long seed,
         int sockets,
         Known known,
-        Gateway.Settings settings,
+        PolicySettings settings,
         double keepAlive,
         double connectTimeout,
         int servers) {
@@ -41,12 +41,12 @@
     private static final double MEMORY = 192;
 
     /** The list known from before: read when it is wanted, as it may be too long to hold its text. */
-    interface Known {
-        void read(ListReader to) throws IOException;
+    public interface Known {
+        void read(EndpointListParser to) throws IOException;
     }
 
     /** Reads the file that EDGE_CONFIG names; the other variables win over it. */
-    public static Config fromEnvironment(Map<String, String> env) throws IOException {
+    public static GatewayConfig fromEnvironment(Map<String, String> env) throws IOException {
         String file = env.get("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException("EDGE_CONFIG is not set");
@@ -57,24 +57,24 @@
     }
 
     /** The file as it is now, for a running edge node: the variables are those of its start. */
-    public static Config again(Map<String, String> env) throws IOException {
+    public static GatewayConfig again(Map<String, String> env) throws IOException {
         Map<String, String> rest = new HashMap<>(env);
         rest.remove("EDGE_DISCOVERY");
         return fromEnvironment(rest);
     }
 
-    static Config of(Json root, Map<String, String> env) {
+    public static GatewayConfig of(Json root, Map<String, String> env) {
         return of(root, env, to -> to.read(root.get("known")));
     }
 
-    private static Config of(Json root, Map<String, String> env, Known known) {
+    private static GatewayConfig of(Json root, Map<String, String> env, Known known) {
         Map<String, String> keys = new HashMap<>();
         flatten("", root.get("settings"), keys);
         double idle = SettingsReader.number(keys, "limits.keepalive");
         double connect = SettingsReader.number(keys, "limits.connect_timeout");
         String counter = root.get("counter").text("");
         String control = env.getOrDefault("EDGE_CONTROL", root.get("control").text(""));
-        return new Config(
+        return new GatewayConfig(
                 text(env, "EDGE_NAME", root, "name"),
                 address(text(env, "EDGE_LISTEN", root, "listen")),
                 address(text(env, "EDGE_DISCOVERY", root, "discovery")),
@@ -87,7 +87,7 @@
                 SettingsReader.read(keys),
                 idle > 0 ? idle : KEEP_ALIVE,
                 connect > 0 ? connect : CONNECT_TIMEOUT,
-                ListReader.most(root.get("limits").get("memory_mb").number(MEMORY)));
+                EndpointListParser.most(root.get("limits").get("memory_mb").number(MEMORY)));
     }
 
     private static String text(Map<String, String> env, String variable, Json root, String key) {
@@ -107,7 +107,7 @@
     }
 
     /** Addresses are numbers: there is no DNS. */
-    static InetSocketAddress address(String hostAndPort) {
+    public static InetSocketAddress address(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         try {
             return new InetSocketAddress(
@@ -118,7 +118,7 @@
     }
 
     /** An address in one number, IPv4 before the port: 200,000 of them are kept. */
-    static long dial(String hostAndPort) {
+    public static long dial(String hostAndPort) {
         InetSocketAddress at = address(hostAndPort);
         byte[] ip = at.isUnresolved() ? new byte[0] : at.getAddress().getAddress();
         if (ip.length != Integer.BYTES) {
@@ -127,7 +127,7 @@
         return Integer.toUnsignedLong(ByteBuffer.wrap(ip).getInt()) << Short.SIZE | at.getPort();
     }
 
-    static InetSocketAddress address(long dial) {
+    public static InetSocketAddress address(long dial) {
         try {
             byte[] ip = ByteBuffer.allocate(Integer.BYTES)
                     .putInt((int) (dial >>> Short.SIZE))
--- a/src/main/java/willowyoke/net/Json.java
+++ b/src/main/java/quotagateway/config/Json.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,7 +16,7 @@
  * A JSON value: the library's parser, without its data binding, whose classes cost a tenth of a start. What
  * is absent, null or of another kind reads as the fallback. A value is a map, a list, or text here.
  */
-final class Json {
+public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final int DEEPEST = 32;
     private static final Json NONE = new Json(null);
@@ -30,7 +30,7 @@
         return whole(FACTORY.createParser(text));
     }
 
-    static Json read(String text) throws IOException {
+    public static Json read(String text) throws IOException {
         return whole(FACTORY.createParser(text));
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** An object without the value of one member, which may be too large to hold: that is an empty one. */
-    static Json without(String member, Path file) throws IOException {
+    public static Json without(String member, Path file) throws IOException {
         Map<String, Json> all = new LinkedHashMap<>();
         each(file, in -> {
             String name = in.currentName();
@@ -114,16 +114,16 @@
     }
 
     @SuppressWarnings("unchecked")
-    Map<String, Json> members() {
+    public Map<String, Json> members() {
         return value instanceof Map ? (Map<String, Json>) value : Map.of();
     }
 
     @SuppressWarnings("unchecked")
-    List<Json> elements() {
+    public List<Json> elements() {
         return value instanceof List ? (List<Json>) value : List.of();
     }
 
-    Json get(String name) {
+    public Json get(String name) {
         return members().getOrDefault(name, NONE);
     }
 
@@ -135,19 +135,19 @@
         return value instanceof Map;
     }
 
-    boolean isArray() {
+    public boolean isArray() {
         return value instanceof List;
     }
 
-    String text(String other) {
+    public String text(String other) {
         return value instanceof String text ? text : other;
     }
 
-    boolean isTrue() {
+    public boolean isTrue() {
         return "true".equals(value);
     }
 
-    double number(double other) {
+    public double number(double other) {
         try {
             return value instanceof String text ? Double.parseDouble(text) : other;
         } catch (NumberFormatException e) {
--- a/src/main/java/willowyoke/SettingsReader.java
+++ b/src/main/java/quotagateway/config/SettingsReader.java
@@ -1,21 +1,19 @@
-package willowyoke;
+package quotagateway.config;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import quotagateway.policy.api.Capabilities;
+import quotagateway.policy.api.CostWeights;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.policy.api.ServiceRules;
 
 /** The settings by path, as both hosts are told them: the simulator's wire and the real edge node's file. */
 public final class SettingsReader {
-    /** A setting that is missing or cannot be understood. */
-    public static final class Bad extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-        final String field;
-
-        Bad(String field, String what) {
-            super(what);
-            this.field = field;
-        }
-    }
 
     private final Map<String, String> keys;
 
@@ -24,23 +22,23 @@
     }
 
     /** A list of objects has its length under {@code .count}; a key that is not known here is skipped. */
-    public static Gateway.Settings read(Map<String, String> keys) {
+    public static PolicySettings read(Map<String, String> keys) {
         SettingsReader k = new SettingsReader(keys);
-        List<Gateway.RequestClass> classes = new ArrayList<>();
+        List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < k.num("request_classes.count"); i++) {
             String at = "request_classes." + i + ".";
-            Gateway.Effect effect = switch (k.text(at + "effect")) {
-                case "read_like" -> Gateway.Effect.SAFE;
-                case "idempotency_key" -> Gateway.Effect.KEYED;
-                case "non_idempotent" -> Gateway.Effect.UNSAFE;
-                default -> throw new Bad(at + "effect", "unknown effect");
+            Idempotency effect = switch (k.text(at + "effect")) {
+                case "read_like" -> Idempotency.IDEMPOTENT;
+                case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
+                case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
+                default -> throw new InvalidSettingException(at + "effect", "unknown effect");
             };
-            Gateway.Group group = switch (k.or(at + "group", "cell")) {
-                case "all" -> Gateway.Group.ALL;
-                case "zone" -> Gateway.Group.ZONE;
-                default -> Gateway.Group.CELL;
+            RetryScope group = switch (k.or(at + "group", "cell")) {
+                case "all" -> RetryScope.ALL;
+                case "zone" -> RetryScope.ZONE;
+                default -> RetryScope.CELL;
             };
-            classes.add(new Gateway.RequestClass(
+            classes.add(new RequestClass(
                     k.text(at + "name"),
                     effect,
                     group,
@@ -51,10 +49,10 @@
                     k.num(at + "repeat_window"),
                     k.flag(at + "stream")));
         }
-        List<Gateway.Plan> plans = new ArrayList<>();
+        List<QuotaPlan> plans = new ArrayList<>();
         for (int i = 0; i < k.num("tariffs.count"); i++) {
             String at = "tariffs." + i + ".";
-            plans.add(new Gateway.Plan(
+            plans.add(new QuotaPlan(
                     k.text(at + "name"),
                     k.num(at + "per_second"),
                     k.num(at + "depth"),
@@ -67,7 +65,7 @@
                     k.num(at + "cap_slack")));
         }
         String fields = k.or("feedback.fields", "");
-        return new Gateway.Settings(
+        return new PolicySettings(
                 (int) k.num("rank"),
                 Math.max(1, (int) k.num("group_size")),
                 k.or("my_zone", ""),
@@ -78,7 +76,7 @@
                 fields.isEmpty() ? List.of() : List.of(fields.split(",")),
                 classes,
                 plans,
-                new Gateway.Allowed(
+                new Capabilities(
                         k.flag("limits.probing"),
                         k.flag("limits.cancelling"),
                         k.flag("limits.parallel_tries"),
@@ -88,14 +86,14 @@
                         Math.max(1, (int) k.num("limits.send_cap")),
                         k.num("limits.max_retry_after"),
                         k.num("family_info.count_limit")),
-                new Gateway.Rules(
+                new ServiceRules(
                         k.num("contract.grace_to_answer"),
                         k.num("contract.drain_grace"),
                         k.num("contract.cold_share"),
                         k.num("contract.warm_after"),
                         k.num("contract.overload_factor"),
                         k.num("contract.overload_for")),
-                new Gateway.Prices(
+                new CostWeights(
                         k.num("prices.waste"),
                         k.num("prices.probe"),
                         k.num("family_info.counter_price"),
@@ -110,7 +108,7 @@
     private String text(String key) {
         String value = keys.get(key);
         if (value == null) {
-            throw new Bad(key, "missing setting");
+            throw new InvalidSettingException(key, "missing setting");
         }
         return value;
     }
@@ -133,7 +131,7 @@
         } catch (NumberFormatException e) {
             // told below, with the field
         }
-        throw new Bad(key, "number expected, found '" + value + "'");
+        throw new InvalidSettingException(key, "number expected, found '" + value + "'");
     }
 
     private boolean flag(String key) {
--- a/src/main/java/willowyoke/net/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.counter;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -21,10 +21,13 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.regex.Pattern;
-import willowyoke.Gateway;
+import quotagateway.node.GatewayNode;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.resp.Resp;
+import quotagateway.transport.Transport;
 
 /** Calls to the shared counter over a few connections. A name keeps to one, so its answers stay in order. */
-final class CounterClient {
+public final class CounterClient {
     private static final int LINES = 4;
     private static final double CHECK = 200;
     /** Silence (ms) until a check: shorter than the 10 s or less after which the counter ends idle ones. */
@@ -46,7 +49,7 @@
     /** A total in decimal, no longer than a double can hold. */
     private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?(e[+-]?[0-9]{1,2})?");
 
-    private final Node node;
+    private final GatewayNode node;
     private final double limit;
     private final SplittableRandom random;
     private final Bootstrap bootstrap;
@@ -77,7 +80,7 @@
         }
     }
 
-    CounterClient(Node node, EventLoopGroup group, InetSocketAddress address, double limit, long seed) {
+    public CounterClient(GatewayNode node, EventLoopGroup group, InetSocketAddress address, double limit, long seed) {
         this.node = node;
         random = new SplittableRandom(seed);
         this.address = address;
@@ -91,7 +94,7 @@
         }
     }
 
-    void start() {
+    public void start() {
         if (address != null) {
             for (int i = 0; i < LINES; i++) {
                 lines[i] = new Line(address);
@@ -102,7 +105,7 @@
     }
 
     /** A new address: the old lines serve until the new ones are up; what is out may be answered. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (to == null || to.equals(address)) {
             return;
         }
@@ -135,14 +138,14 @@
         return lines[i];
     }
 
-    CompletableFuture<Void> ready() {
+    public CompletableFuture<Void> ready() {
         return ready;
     }
 
-    void add(long name, double amount, double keepFor) {
+    public void add(long name, double amount, double keepFor) {
         Line line = address == null ? null : line((int) Math.floorMod(name, (long) LINES));
         if (line == null || line.channel == null && !line.connecting) {
-            node.later(() -> node.counted(name, Gateway.Outcome.NO_CONNECTION, 0, 0));
+            node.later(() -> node.counted(name, CallOutcome.NO_CONNECTION, 0, 0));
             return;
         }
         Call call = new Call(line, name, node.now(), false);
@@ -173,10 +176,7 @@
             if (!call.told && call.line.channel != null && call.line.raw.pending != 0) {
                 call.line.spoilt(); // half an answer, and no more of it
             }
-            tell(
-                    call,
-                    call.line.waiting.remove(call) == null ? Gateway.Outcome.TIMEOUT : Gateway.Outcome.NO_CONNECTION,
-                    0);
+            tell(call, call.line.waiting.remove(call) == null ? CallOutcome.TIMEOUT : CallOutcome.NO_CONNECTION, 0);
         }
         armed = !untold.isEmpty();
         if (armed) {
@@ -184,7 +184,7 @@
         }
     }
 
-    private void tell(Call call, Gateway.Outcome outcome, double total) {
+    private void tell(Call call, CallOutcome outcome, double total) {
         if (!call.told) {
             call.told = true;
             node.counted(call.name, outcome, node.now() - call.sent, total);
@@ -240,7 +240,7 @@
          */
         void spoilt() {
             if (!calls.isEmpty()) {
-                tell(calls.poll(), Gateway.Outcome.ERROR, 0);
+                tell(calls.poll(), CallOutcome.ERROR, 0);
             }
             broken();
             channel.close();
@@ -248,7 +248,7 @@
 
         private void broken() {
             for (Call call = calls.poll(); call != null; call = calls.poll()) {
-                tell(call, call.written ? Gateway.Outcome.RESET : Gateway.Outcome.NO_CONNECTION, 0);
+                tell(call, call.written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
             }
         }
 
@@ -283,7 +283,7 @@
                     }
                     ready.complete(null);
                 } else {
-                    held.forEach((call, words) -> tell(call, Gateway.Outcome.NO_CONNECTION, 0));
+                    held.forEach((call, words) -> tell(call, CallOutcome.NO_CONNECTION, 0));
                     node.flush();
                     again();
                 }
@@ -341,12 +341,12 @@
                 if (msg instanceof ErrorRedisMessage error
                         && (error.content().startsWith("BUSY")
                                 || error.content().startsWith("ERR"))) {
-                    tell(call, Gateway.Outcome.FULL, 0); // nothing was added
+                    tell(call, CallOutcome.FULL, 0); // nothing was added
                     return true;
                 }
                 String total = Resp.isValue(msg) ? Resp.text(msg) : "";
                 if (NUMBER.matcher(total).matches()) {
-                    tell(call, Gateway.Outcome.OK, Double.parseDouble(total));
+                    tell(call, CallOutcome.OK, Double.parseDouble(total));
                     return true;
                 }
                 return false;
--- a/src/main/java/willowyoke/net/Discovery.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.discovery;
 
 import com.fasterxml.jackson.core.JacksonException;
 import io.netty.bootstrap.Bootstrap;
@@ -22,14 +22,16 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.log.NodeEvent;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.transport.Transport;
 
 /**
  * The list of app servers: the one told at the start, the whole list, then a watch that is kept alive.
@@ -52,7 +54,7 @@
  * <tr><td>a new address during any of them</td><td>none</td><td>0</td><td>600</td></tr></table>
  * A list that keeps coming has its bytes over PACE on top.
  */
-final class Discovery {
+public final class DiscoveryClient {
     private static final String PATH = "/catalog/members";
     /**
      * A watch sends a line every 2 s: one that is silent for longer (ms) is dead. What it misses counts as
@@ -91,40 +93,12 @@
     /** A long list is read in pieces of this (bytes), some 0.3 ms each: requests come between them. */
     private static final int PIECE = 16 << 10;
 
-    /** What the list's reader has of its node: clock (ms) and timers of one thread, and who is to be told. */
-    interface Host {
-        double now();
-
-        Future<?> after(double delay, Runnable what);
-
-        /** Changes or a part of a list, or a whole list of few servers. */
-        void listed(List<Gateway.Server> list, boolean whole);
-
-        /** From here on come parts of a whole list; one that is begun and not ended drops nothing. */
-        void listBegins();
-
-        /** What the parts since have not named is gone. */
-        void listEnds();
-
-        void discoveryFailed();
-
-        void flush();
-
-        void log(String where, Throwable what);
-
-        /** Once, for the operators. */
-        void say(String what);
-
-        /** For the event log. */
-        default void event(Event event) {}
-    }
-
     /** Opens connections; one that does not come up fails after CONNECT. */
     interface Connector {
         ChannelFuture connect(InetSocketAddress to, ChannelHandler handler);
     }
 
-    private final Host node;
+    private final DiscoveryListener node;
     private final Connector connector;
     private final SplittableRandom random;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
@@ -150,7 +124,7 @@
 
     private boolean tooLong;
 
-    Discovery(Host node, Connector connector, Config config) {
+    public DiscoveryClient(DiscoveryListener node, Connector connector, GatewayConfig config) {
         this.node = node;
         this.connector = connector;
         address = config.discovery();
@@ -158,7 +132,7 @@
         most = config.servers();
     }
 
-    static Connector sockets(EventLoopGroup group) {
+    public static Connector sockets(EventLoopGroup group) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channel(Transport.socket())
@@ -168,16 +142,16 @@
     }
 
     /** Done when discovery itself has told its list. */
-    CompletableFuture<Void> ready() {
+    public CompletableFuture<Void> ready() {
         return ready;
     }
 
     /** The list that was known at the start may be old: it serves until discovery answers. */
-    void start(Config.Known known) {
+    public void start(GatewayConfig.Known known) {
         started = true;
         if (known != null) {
             try {
-                known.read(new ListReader(new Told(moved ? null : address), most));
+                known.read(new EndpointListParser(new Told(moved ? null : address), most));
             } catch (IOException | RuntimeException e) {
                 node.log("list known from before", e); // discovery has another
             }
@@ -187,19 +161,19 @@
     }
 
     /** The watch stands or is being renewed all the time. */
-    void subscribe() {
+    public void subscribe() {
         if (channel == null && !connecting) {
             connect();
         }
     }
 
     /** A new address: its versions are its own, so the whole list is fetched; the old watch stays so long. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        step(to, Event.DiscoveryCall.Step.MOVED);
+        step(to, NodeEvent.DiscoveryCall.Step.MOVED);
         moved = true;
         seq = -1;
         backoff = BACKOFF;
@@ -215,7 +189,7 @@
     private void check() {
         node.after(CHECK, this::check);
         if (channel != null && node.now() > call.due()) {
-            step(address, Event.DiscoveryCall.Step.SILENT);
+            step(address, NodeEvent.DiscoveryCall.Step.SILENT);
             channel.close();
         }
     }
@@ -241,12 +215,12 @@
                 });
     }
 
-    private void step(InetSocketAddress at, Event.DiscoveryCall.Step step) {
-        node.event(new Event.DiscoveryCall(at, step, seq));
+    private void step(InetSocketAddress at, NodeEvent.DiscoveryCall.Step step) {
+        node.event(new NodeEvent.DiscoveryCall(at, step, seq));
     }
 
     private void unreached(InetSocketAddress to) {
-        step(to, Event.DiscoveryCall.Step.UNREACHED);
+        step(to, NodeEvent.DiscoveryCall.Step.UNREACHED);
         if (to == address) {
             connecting = false;
             again();
@@ -261,7 +235,7 @@
     }
 
     /** What lists of one address become. */
-    private final class Told implements ListReader.Taker {
+    private final class Told implements EndpointListParser.Taker {
         private final InetSocketAddress at;
 
         Told(InetSocketAddress at) {
@@ -275,7 +249,7 @@
         }
 
         @Override
-        public void take(List<Gateway.Server> servers, boolean whole) {
+        public void take(List<EndpointDescriptor> servers, boolean whole) {
             node.listed(servers, whole);
         }
 
@@ -300,7 +274,7 @@
             }
             if (at == address) {
                 seq = Double.isNaN(version) ? seq : (long) version;
-                step(at, whole ? Event.DiscoveryCall.Step.TOLD_WHOLE : Event.DiscoveryCall.Step.TOLD);
+                step(at, whole ? NodeEvent.DiscoveryCall.Step.TOLD_WHOLE : NodeEvent.DiscoveryCall.Step.TOLD);
                 if (whole) {
                     left.forEach(Channel::close);
                     left.clear();
@@ -312,7 +286,7 @@
     /** A connection with the call on it: heads of answers, and their bodies in pieces. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress at;
-        private final ListReader lists;
+        private final EndpointListParser lists;
         private boolean watching;
         /** Refused or spoilt: what still comes is of no use. */
         private boolean over;
@@ -333,7 +307,7 @@
 
         Call(InetSocketAddress at) {
             this.at = at;
-            lists = new ListReader(new Told(at), most);
+            lists = new EndpointListParser(new Told(at), most);
         }
 
         @Override
@@ -350,7 +324,7 @@
 
         private void ask(ChannelHandlerContext ctx) {
             watching = seq >= 0;
-            step(at, watching ? Event.DiscoveryCall.Step.WATCH_ASKED : Event.DiscoveryCall.Step.LIST_ASKED);
+            step(at, watching ? NodeEvent.DiscoveryCall.Step.WATCH_ASKED : NodeEvent.DiscoveryCall.Step.LIST_ASKED);
             standing = false;
             begin();
             allowed = patience;
@@ -390,7 +364,7 @@
 
         private void refused(ChannelHandlerContext ctx) {
             over = true;
-            step(at, Event.DiscoveryCall.Step.REFUSED);
+            step(at, NodeEvent.DiscoveryCall.Step.REFUSED);
             if (at == address) {
                 seq = -1; // no longer known there: asked again, it would be refused for ever
             }
@@ -453,7 +427,7 @@
         public void channelInactive(ChannelHandlerContext ctx) throws IOException {
             lists.close();
             left.remove(ctx.channel());
-            step(at, Event.DiscoveryCall.Step.ENDED);
+            step(at, NodeEvent.DiscoveryCall.Step.ENDED);
             if (ctx.channel() == channel) {
                 channel = null;
                 again();
--- a/src/main/java/willowyoke/net/ListReader.java
+++ b/src/main/java/quotagateway/discovery/EndpointListParser.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -12,21 +12,24 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /**
  * Reads lists of app servers as their text comes: JSON objects one behind another, indented or not, in pieces
  * cut anywhere. No text is held but that of the entry that is being read. A list of up to AT_ONCE entries is
  * handed over as one, a longer one in parts as they come.
  */
-final class ListReader {
+public final class EndpointListParser {
     /** What becomes of a list. */
     interface Taker {
         /** The next parts are of one list; one that is begun and never ends drops nothing. */
         void begins();
 
         /** A list of few entries, or a part: whole where what it does not name is gone. */
-        void take(List<Gateway.Server> servers, boolean whole);
+        void take(List<EndpointDescriptor> servers, boolean whole);
 
         /** The list is complete; seq is NaN where it names none. Drops: what no part has named is gone. */
         void ends(double seq, boolean whole, boolean drops);
@@ -82,15 +85,15 @@
     private double seq;
     private String name = "";
     private final Entry entry = new Entry();
-    private List<Gateway.Server> servers = new ArrayList<>();
+    private List<EndpointDescriptor> servers = new ArrayList<>();
 
-    ListReader(Taker taker, int most) {
+    EndpointListParser(Taker taker, int most) {
         this.taker = taker;
         this.most = most;
     }
 
     /** How many servers a list may have where this is the limit of memory (MB). */
-    static int most(double memory) {
+    public static int most(double memory) {
         return (int) Math.min(Integer.MAX_VALUE, memory * (1 << 20) / BYTES_A_SERVER);
     }
 
@@ -140,7 +143,7 @@
     }
 
     /** A list that is in memory. */
-    void read(Json list) {
+    public void read(Json list) {
         begin();
         hosts = list.get("hosts").isArray();
         for (Json each : list.get("hosts").elements()) {
@@ -154,7 +157,7 @@
     }
 
     /** The list that a parser is at the start of. */
-    void read(JsonParser in) throws IOException {
+    public void read(JsonParser in) throws IOException {
         token(in.currentToken(), in);
         while (depth > 0) {
             JsonToken t = in.nextToken();
@@ -234,7 +237,7 @@
             }
             return;
         }
-        Gateway.Server server;
+        EndpointDescriptor server;
         try {
             server = entry.server(words);
         } catch (IllegalArgumentException e) {
@@ -255,7 +258,7 @@
     }
 
     private void part() {
-        List<Gateway.Server> part = servers;
+        List<EndpointDescriptor> part = servers;
         servers = new ArrayList<>();
         taker.take(part, false);
     }
@@ -308,16 +311,16 @@
             }
         }
 
-        Gateway.Server server(Map<String, String> words) {
-            Gateway.State state = switch (text(health)) {
-                case "active" -> Gateway.State.UP;
-                case "left" -> Gateway.State.GONE;
-                default -> Gateway.State.DRAINING; // leaving, or a word to come: nothing new is safe
+        EndpointDescriptor server(Map<String, String> words) {
+            EndpointState state = switch (text(health)) {
+                case "active" -> EndpointState.UP;
+                case "left" -> EndpointState.REMOVED;
+                default -> EndpointState.DRAINING; // leaving, or a word to come: nothing new is safe
             };
             if (text(host).isEmpty()) {
                 throw new IllegalArgumentException("an entry of a list names no host");
             }
-            return new Gateway.Server(
+            return new EndpointDescriptor(
                     host,
                     (int) number(block, 0),
                     once(site, words),
@@ -325,7 +328,7 @@
                     once(kind, words),
                     number(born, 0),
                     number(share, 1),
-                    state == Gateway.State.GONE && text(dial).isEmpty() ? 0 : Config.dial(text(dial)));
+                    state == EndpointState.REMOVED && text(dial).isEmpty() ? 0 : GatewayConfig.dial(text(dial)));
         }
 
         private static String text(String value) {
--- a/src/main/java/willowyoke/net/CloseReason.java
+++ b/src/main/java/quotagateway/lifecycle/CloseReason.java
@@ -1,7 +1,7 @@
-package willowyoke.net;
+package quotagateway.lifecycle;
 
 /** Why a connection was closed, by which side. */
-enum CloseReason {
+public enum CloseReason {
     /** The other side closed or reset it. */
     CLOSED_BY_PEER,
     /** An I/O error, or a fault in a handler. */
--- a/src/main/java/willowyoke/net/Phase.java
+++ b/src/main/java/quotagateway/lifecycle/NodeState.java
@@ -1,7 +1,7 @@
-package willowyoke.net;
+package quotagateway.lifecycle;
 
 /** The states of a node, in their order: none is entered twice. */
-enum Phase {
+public enum NodeState {
     /** Comes up: does not listen yet. */
     STARTING,
     /** Listens, and takes requests. */
--- a/src/main/java/willowyoke/net/EventLog.java
+++ b/src/main/java/quotagateway/log/EventLog.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.log;
 
 import java.io.PrintStream;
 import java.util.ArrayDeque;
@@ -7,9 +7,9 @@
  * The event log of a node. Events are kept in a short memory; from the beginning of a shutdown on they are
  * written as they happen, as a kill leaves no time to tell them later. {@code EDGE_LOG=all} in the
  * environment writes them from the start. Written by hand rather than through a logging library, whose
- * classes a start would pay for (see {@link StartLog}); the loop alone uses it.
+ * classes a start would pay for (see {@link quotagateway.startup.StartupTimeline}); the loop alone uses it.
  */
-final class EventLog {
+public final class EventLog {
     /** Events that are kept to explain a later one. */
     private static final int KEPT = 256;
     /** Lines written in one life: a flood would cost what it is to explain. */
@@ -19,7 +19,7 @@
     private static final String VARIABLE = "EDGE_LOG";
     private static final String ALL = "all";
 
-    private record Entry(double at, Event event) {
+    private record Entry(double at, NodeEvent event) {
         void appendTo(StringBuilder text) {
             text.append("t=").append((long) at).append(' ').append(event.text()).append('\n');
         }
@@ -32,21 +32,21 @@
     private boolean live;
     private int lines;
 
-    EventLog(PrintStream out) {
+    public EventLog(PrintStream out) {
         this.out = out;
         live = ALL.equals(System.getenv(VARIABLE));
         most = live ? LINES_MOST_ALL : LINES_MOST;
     }
 
     /** From here on events are written as they happen. */
-    void writeAll() {
+    public void writeAll() {
         live = true;
     }
 
     /** Takes an event; at is Unix time (ms) by the node's clock. A violation is written at once. */
-    void add(double at, Event event) {
+    public void add(double at, NodeEvent event) {
         Entry entry = new Entry(at, event);
-        if (live || event instanceof Event.Violation) {
+        if (live || event instanceof NodeEvent.Violation) {
             write(entry);
             return;
         }
@@ -57,7 +57,7 @@
     }
 
     /** Writes what is remembered of a request: what led to an event that is to be explained. */
-    void explain(String request) {
+    public void explain(String request) {
         for (Entry entry : kept) {
             if (request.equals(entry.event.request())) {
                 write(entry);
@@ -72,7 +72,7 @@
     }
 
     /** Writes out what the events of this round have left. */
-    void flush() {
+    public void flush() {
         if (unwritten.length() > 0) {
             out.print(unwritten);
             out.flush();
--- a/src/main/java/willowyoke/net/Event.java
+++ b/src/main/java/quotagateway/log/NodeEvent.java
@@ -1,14 +1,21 @@
-package willowyoke.net;
+package quotagateway.log;
 
 import java.net.InetSocketAddress;
-import willowyoke.Gateway;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.Invariant;
+import quotagateway.lifecycle.NodeState;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.lifecycle.SendDenial;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.FailureReason;
 
 /**
  * What the event log tells, one line an event, as {@code name key=value ...}. Times and ages are
  * milliseconds. The lines are put together by hand: a record's own toString links at run time, which a start
  * pays for.
  */
-sealed interface Event {
+public sealed interface NodeEvent {
     /** The line without its time. */
     String text();
 
@@ -18,7 +25,7 @@
     }
 
     /** The node has entered a state; bound tells how long until all answers are due, 0 for no such time. */
-    record State(Phase to, double bound) implements Event {
+    record State(NodeState to, double bound) implements NodeEvent {
         @Override
         public String text() {
             return "state to=" + to + (bound > 0 ? " answers_due_in=" + Math.round(bound) : "");
@@ -27,7 +34,7 @@
 
     /** A request was taken on a client's connection of this age, which had sent so many commands before. */
     record Taken(String request, String type, long connection, double age, int commands, double patience)
-            implements Event {
+            implements NodeEvent {
         @Override
         public String text() {
             return "taken request=" + request + " class=" + type + " connection=" + connection + " age="
@@ -36,7 +43,7 @@
     }
 
     /** An attempt goes out; after is the outcome of the one before it, null for the first. */
-    record Sent(String request, int attempt, String server, Gateway.Outcome after) implements Event {
+    record Sent(String request, int attempt, String server, CallOutcome after) implements NodeEvent {
         @Override
         public String text() {
             return "sent request=" + request + " attempt=" + attempt + " server=" + server
@@ -45,7 +52,7 @@
     }
 
     /** An attempt has ended, so long after it began. */
-    record Ended(String request, int attempt, String server, Gateway.Outcome outcome, double took) implements Event {
+    record Ended(String request, int attempt, String server, CallOutcome outcome, double took) implements NodeEvent {
         @Override
         public String text() {
             return "ended request=" + request + " attempt=" + attempt + " server=" + server + " outcome=" + outcome
@@ -54,7 +61,7 @@
     }
 
     /** A request has its final answer; reason tells why it was not served, and is null where it was. */
-    record Answered(String request, Metrics.Outcome outcome, Gateway.EndReason reason) implements Event {
+    record Answered(String request, RequestOutcome outcome, FailureReason reason) implements NodeEvent {
         @Override
         public String text() {
             return "answered request=" + request + " outcome=" + outcome + (reason == null ? "" : " reason=" + reason);
@@ -62,7 +69,7 @@
     }
 
     /** The client of a request has gone. */
-    record Abandoned(String request) implements Event {
+    record Abandoned(String request) implements NodeEvent {
         @Override
         public String text() {
             return "abandoned request=" + request;
@@ -71,7 +78,7 @@
 
     /** A client's connection has ended, with so many commands unanswered. */
     record ClientClosed(long connection, CloseReason reason, double age, int commands, int unanswered)
-            implements Event {
+            implements NodeEvent {
         @Override
         public String text() {
             return "client_closed connection=" + connection + " reason=" + reason + " age=" + Math.round(age)
@@ -80,7 +87,7 @@
     }
 
     /** A connection to a place server has ended. */
-    record ServerClosed(String server, CloseReason reason) implements Event {
+    record ServerClosed(String server, CloseReason reason) implements NodeEvent {
         @Override
         public String text() {
             return "server_closed server=" + server + " reason=" + reason;
@@ -88,9 +95,9 @@
     }
 
     /** What became of a call to discovery, and the version of the list that it asked from or was told. */
-    record DiscoveryCall(InetSocketAddress at, Step step, long version) implements Event {
+    record DiscoveryCall(InetSocketAddress at, Step step, long version) implements NodeEvent {
         /** The steps of a call. */
-        enum Step {
+        public enum Step {
             MOVED,
             UNREACHED,
             LIST_ASKED,
@@ -109,7 +116,7 @@
     }
 
     /** A place server wants nothing new, or has gone, as discovery tells. */
-    record ServerLeaves(String server, Gateway.State state) implements Event {
+    record ServerLeaves(String server, EndpointState state) implements NodeEvent {
         @Override
         public String text() {
             return "server_leaves server=" + server + " state=" + state;
@@ -117,7 +124,7 @@
     }
 
     /** An attempt was not written, though the module had decided on it. */
-    record Denied(String request, int attempt, LifecycleGuard.Denial denial) implements Event {
+    record Denied(String request, int attempt, SendDenial denial) implements NodeEvent {
         @Override
         public String text() {
             return "denied request=" + request + " attempt=" + attempt + " reason=" + denial;
@@ -125,7 +132,7 @@
     }
 
     /** What should hold at any time did not; request is null where it is about none. */
-    record Violation(LifecycleGuard.Invariant invariant, String request) implements Event {
+    record Violation(Invariant invariant, String request) implements NodeEvent {
         @Override
         public String text() {
             return "violation invariant=" + invariant + (request == null ? "" : " request=" + request);
@@ -133,7 +140,7 @@
     }
 
     /** The event loop ran a timer so long after it was due. */
-    record LoopLate(double by) implements Event {
+    record LoopLate(double by) implements NodeEvent {
         @Override
         public String text() {
             return "loop_late by=" + Math.round(by);
--- a/src/main/java/willowyoke/net/Cordons.java
+++ b/src/main/java/quotagateway/node/CordonStore.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -13,6 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
+import quotagateway.admin.CordonResult;
 
 /**
  * Keeps which servers are out by hand, in a file that the next process of this edge node finds. What is out
@@ -20,18 +21,12 @@
  * replaced whole. It is read again all the time: while a new version comes up, calls reach one process and
  * bind both.
  */
-final class Cordons {
-    /** How a call ended: known and kept; no server; in force here, but not kept for the next process. */
-    enum Result {
-        DONE,
-        UNKNOWN,
-        NOT_KEPT
-    }
+final class CordonStore {
 
     /** Between readings (ms): a call binds the other process 1 s later at the latest. */
     private static final double READ_EVERY = 200;
 
-    private final Node node;
+    private final GatewayNode node;
     private final Path file;
     private final ExecutorService files = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "cordons");
@@ -47,7 +42,7 @@
     /** As last read or written by the thread of the files. */
     private Set<String> last = Set.of();
 
-    Cordons(Node node, Path folder, String name) {
+    CordonStore(GatewayNode node, Path folder, String name) {
         this.node = node;
         file = folder.resolve("cordons-" + name);
     }
@@ -74,9 +69,9 @@
     }
 
     /** Takes a server out or puts it back: here at once, and answered when that is kept. */
-    void call(String server, boolean out, Consumer<Result> answer) {
+    void call(String server, boolean out, Consumer<CordonResult> answer) {
         if (!node.cordon(server, out)) {
-            answer.accept(Result.UNKNOWN);
+            answer.accept(CordonResult.UNKNOWN);
             return;
         }
         calls++;
@@ -84,7 +79,7 @@
         write(server, out, answer);
     }
 
-    private void write(String server, boolean out, Consumer<Result> answer) {
+    private void write(String server, boolean out, Consumer<CordonResult> answer) {
         writing++;
         files.execute(() -> {
             boolean done = keep(server, out);
@@ -93,7 +88,7 @@
                 if (done) {
                     unkept.remove(server, out); // unless the other call for it came meanwhile
                 }
-                answer.accept(done ? Result.DONE : Result.NOT_KEPT);
+                answer.accept(done ? CordonResult.DONE : CordonResult.NOT_KEPT);
             });
         });
     }
--- a/src/main/java/willowyoke/net/Node.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -1,17 +1,15 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.ErrorRedisMessage;
-import io.netty.handler.codec.redis.FullBulkStringRedisMessage;
 import io.netty.handler.codec.redis.RedisMessage;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.collection.LongObjectHashMap;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.SocketAddress;
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -20,17 +18,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import willowyoke.Gateway;
+import quotagateway.admin.AdminServer;
+import quotagateway.admin.CordonResult;
+import quotagateway.admin.Metrics;
+import quotagateway.client.ClientCommand;
+import quotagateway.client.ClientListener;
+import quotagateway.config.GatewayConfig;
+import quotagateway.counter.CounterClient;
+import quotagateway.discovery.DiscoveryClient;
+import quotagateway.discovery.DiscoveryListener;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.Invariant;
+import quotagateway.lifecycle.NodeState;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.lifecycle.SendDenial;
+import quotagateway.log.EventLog;
+import quotagateway.log.NodeEvent;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
+import quotagateway.policy.api.PolicyFactory;
+import quotagateway.startup.Readiness;
+import quotagateway.startup.StartupTimeline;
+import quotagateway.streaming.RequestBody;
+import quotagateway.streaming.StreamedResponse;
+import quotagateway.transport.Transport;
+import quotagateway.upstream.EndpointPool;
 
 /**
  * One real edge node: clock, timers and the table of requests, between the sockets and the decision module.
  * All of it runs on one event loop thread, the module too. It decides nothing.
  */
-public final class Node implements Gateway.Actions, Discovery.Host {
-    /** How a decision module is made. */
-    public interface Maker {
-        Gateway.Events start(Gateway.Settings settings, long seed, double now, Gateway.Actions actions);
-    }
+public final class GatewayNode implements PolicyActions, DiscoveryListener {
 
     /** Off a client's wait (ms), so that an answer at the end of it is back in time. */
     private static final double WAY_BACK = 10;
@@ -75,71 +98,26 @@
     /** Longest wait (ms) that a client may name: past that its request is malformed. */
     private static final double LONGEST = 3_600_000;
 
-    /** A request of a client, from its last byte to the end of its last attempt. */
-    static final class Request {
-        final long id;
-        final ClientListener.Slot slot;
-        final ArrayRedisMessage command;
-        final Call call;
-        /** By then (ms) its client stops waiting. */
-        final double clientEnds;
-        /** By then (ms) its client has to have the answer: its own time, or the end of the node's. */
-        double deadline;
-        /** A large value that passes through, or null. */
-        final Body body;
-
-        final int bytes;
-        final List<ServerPool.Attempt> attempts = new ArrayList<>(1);
-        boolean over;
-        /** When (ms) it was over. */
-        double overAt;
-
-        int out;
-        Future<?> timer;
-
-        Request(
-                long id,
-                ClientListener.Slot slot,
-                ArrayRedisMessage command,
-                Call call,
-                Body body,
-                double deadline,
-                double clientEnds) {
-            this.id = id;
-            this.clientEnds = clientEnds;
-            this.body = body;
-            this.slot = slot;
-            this.command = command;
-            this.call = call;
-            this.deadline = deadline;
-            int sum = body == null ? 0 : Body.KEPT;
-            for (RedisMessage part : command.children()) {
-                sum += ((FullBulkStringRedisMessage) part).content().readableBytes();
-            }
-            bytes = sum;
-        }
-    }
-
-    private final Config config;
-    private final Maker maker;
+    private final GatewayConfig config;
+    private final PolicyFactory maker;
     private final EventLoopGroup group = Transport.loop();
     private final long startedNanos = System.nanoTime();
     private final double startedMs = System.currentTimeMillis();
-    private final LongObjectHashMap<Request> requests = new LongObjectHashMap<>();
+    private final LongObjectHashMap<ActiveRequest> requests = new LongObjectHashMap<>();
     private final Set<String> ids = new HashSet<>();
     private final Set<Channel> dirty = new LinkedHashSet<>();
     private final ClientListener clients;
-    private final ServerPool servers;
+    private final EndpointPool servers;
     private final CounterClient counter;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final AdminServer admin;
-    private final Handover handover;
-    private final Cordons cordons;
+    private final ProcessHandover handover;
+    private final CordonStore cordons;
     private final Metrics metrics;
     private final EventLog events = new EventLog(System.err);
     private final LifecycleGuard guard;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private Gateway.Events module;
+    private PolicyEvents module;
     private long lastId;
     /** Requests taken and not ended: fewer than the table has, as attempts may outlive their request. */
     private int openRequests;
@@ -154,19 +132,19 @@
     /** Set at SIGTERM: by then (ms) all is answered, as the process may be killed right after. */
     private volatile double endsAt = Double.MAX_VALUE;
 
-    public Node(Config config, Maker maker) {
+    public GatewayNode(GatewayConfig config, PolicyFactory maker) {
         this.config = config;
         this.maker = maker;
         guard = new LifecycleGuard(config.settings(), this::violated);
         clients = new ClientListener(this, clientsOf(CLIENTS));
-        servers = new ServerPool(this, group, config, (int) (config.sockets() * SERVERS));
+        servers = new EndpointPool(this, group, config, (int) (config.sockets() * SERVERS));
         counter = new CounterClient(
-                this, group, config.counter(), config.settings().allowed().counterTimeout(), config.seed());
-        discovery = new Discovery(this, Discovery.sockets(group), config);
+                this, group, config.counter(), config.settings().capabilities().counterTimeout(), config.seed());
+        discovery = new DiscoveryClient(this, DiscoveryClient.sockets(group), config);
         admin = new AdminServer(this);
-        handover = new Handover(config.folder(), config.name());
-        metrics = new Metrics(config.settings().classes());
-        cordons = new Cordons(this, config.folder(), config.name());
+        handover = new ProcessHandover(config.folder(), config.name());
+        metrics = new Metrics(config.settings().requestClasses());
+        cordons = new CordonStore(this, config.folder(), config.name());
     }
 
     /** So many clients as this part of the descriptors holds, or as the others' parts and ours leave. */
@@ -200,21 +178,21 @@
         ended.thenRun(() -> ready.complete(null)); // told to end meanwhile
         group.execute(() -> {
             try {
-                module = maker.start(config.settings(), config.seed(), now(), this);
+                module = maker.create(config.settings(), config.seed(), now(), this);
             } catch (RuntimeException e) {
                 ready.completeExceptionally(e);
                 return;
             }
-            discovery.ready().thenRun(() -> StartLog.ended("discovery"));
-            servers.ready().thenRun(() -> StartLog.ended("servers"));
-            counter.ready().thenRun(() -> StartLog.ended("counter"));
+            discovery.ready().thenRun(() -> StartupTimeline.ended("discovery"));
+            servers.ready().thenRun(() -> StartupTimeline.ended("servers"));
+            counter.ready().thenRun(() -> StartupTimeline.ended("counter"));
             cordons(out); // before the first attempt
             cordons.start();
             guarded(() -> discovery.start(config.known())); // whatever that list is: discovery has another
             counter.start();
             servers.start();
             clients.start();
-            StartLog.ended("loop and module");
+            StartupTimeline.ended("loop and module");
             Readiness.of(this, spent, config.known() != null, discovery.ready(), servers.ready(), counter.ready())
                     .thenRun(() -> ready.complete(null));
         });
@@ -239,7 +217,7 @@
             if (handover.beside()) {
                 clients.bound(clientsOf(CLIENTS_BESIDE));
                 after(
-                        ShutdownBudget.earliestKill(config.settings()) + REPLACED_ENDS,
+                        ShutdownDeadline.earliestKill(config.settings()) + REPLACED_ENDS,
                         () -> clients.bound(clientsOf(CLIENTS)));
             }
             SocketAddress bound = ended.isDone() ? null : clients.bind(group, config.listen());
@@ -248,22 +226,17 @@
             }
             handover.claim();
             address = bound;
-            group.execute(() -> enter(Phase.SERVING));
+            group.execute(() -> enter(NodeState.SERVING));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** How the configuration is read again. */
-    public interface Reader {
-        Config read() throws IOException;
-    }
-
     /** SIGHUP: discovery and counter may have moved. What cannot be read changes nothing. */
-    public void reload(Reader file) {
+    public void reload(ConfigReader file) {
         group.execute(() -> guarded(() -> {
             try {
-                Config told = file.read();
+                GatewayConfig told = file.read();
                 discovery.move(told.discovery());
                 counter.move(told.counter());
             } catch (IOException e) {
@@ -272,16 +245,16 @@
         }));
     }
 
-    SocketAddress address() {
+    public SocketAddress address() {
         return address;
     }
 
-    SocketAddress control() {
+    public SocketAddress control() {
         return control;
     }
 
     /** Whether clients are taken: the listener is up and is to stay. */
-    boolean taking() {
+    public boolean taking() {
         return address != null && endsAt == Double.MAX_VALUE;
     }
 
@@ -290,12 +263,12 @@
      * taken this one's place new connections are its own at once, and what comes on old ones is soon so.
      */
     public void drain() {
-        double due = now() + ShutdownBudget.answersDue(config.settings()); // from the signal on
+        double due = now() + ShutdownDeadline.answersDue(config.settings()); // from the signal on
         boolean succeeded = handover.succeeded();
         group.execute(() -> guarded(() -> {
             endsAt = due;
             events.writeAll();
-            enter(Phase.DRAINING);
+            enter(NodeState.DRAINING);
             if (!clients.hasListened()) {
                 end(); // during the start: nothing is taken, and now nothing will be
                 return;
@@ -318,7 +291,7 @@
     }
 
     /** A request whose time ends later than this process's is answered by then. */
-    private void boundByEnd(Request r) {
+    private void boundByEnd(ActiveRequest r) {
         double end = endsAt - WAY_BACK;
         if (!r.over && r.deadline > end) {
             r.deadline = end;
@@ -334,7 +307,7 @@
     private void whenIdle() {
         double late = now() - lookDue;
         if (late > LATE) {
-            event(new Event.LoopLate(late));
+            event(new NodeEvent.LoopLate(late));
         }
         if (guard.mayEnd(clients.idle(), openRequests, now() >= endsAt + LAST_END)) {
             end();
@@ -352,59 +325,59 @@
     }
 
     private void end() {
-        enter(Phase.ENDED);
+        enter(NodeState.ENDED);
         events.flush();
         ended.complete(null);
     }
 
     /** What comes late for a state that is over changes nothing. */
-    private void enter(Phase next) {
+    private void enter(NodeState next) {
         if (guard.enter(next)) {
-            event(new Event.State(next, next == Phase.DRAINING ? endsAt - now() : 0));
+            event(new NodeEvent.State(next, next == NodeState.DRAINING ? endsAt - now() : 0));
         }
     }
 
     /** Behind the end only the loop's own closes come. */
     @Override
-    public void event(Event event) {
-        if (!guard.hasEnded() || event instanceof Event.State || event instanceof Event.Violation) {
+    public void event(NodeEvent event) {
+        if (!guard.hasEnded() || event instanceof NodeEvent.State || event instanceof NodeEvent.Violation) {
             events.add(now(), event);
         }
     }
 
     /** What may be done to requests, connections and the process is asked here. */
-    LifecycleGuard guard() {
+    public LifecycleGuard guard() {
         return guard;
     }
 
-    private void violated(LifecycleGuard.Invariant invariant, String request) {
+    private void violated(Invariant invariant, String request) {
         metrics.violated(invariant);
         if (request != null) {
             events.explain(request);
         }
-        event(new Event.Violation(invariant, request));
+        event(new NodeEvent.Violation(invariant, request));
     }
 
     /** Whether an attempt must not be written now. */
-    boolean denies(ServerPool.Attempt a) {
-        LifecycleGuard.Denial denial = guard.denial(a.request, a, now());
+    public boolean denies(EndpointPool.Attempt a) {
+        SendDenial denial = guard.denial(a.request, a, now());
         if (denial != null) {
             metrics.denied(denial);
-            event(new Event.Denied(a.request.call.id(), a.number, denial));
+            event(new NodeEvent.Denied(a.request.call.id(), a.number, denial));
         }
         return denial != null;
     }
 
     /** A client's connection has ended. */
-    void clientClosed(Event.ClientClosed closed) {
+    public void clientClosed(NodeEvent.ClientClosed closed) {
         metrics.clientClosed(closed.reason());
         event(closed);
     }
 
     /** A connection to a place server has ended. */
-    void serverClosed(String server, CloseReason reason) {
+    public void serverClosed(String server, CloseReason reason) {
         metrics.serverClosed(reason);
-        event(new Event.ServerClosed(server, reason));
+        event(new NodeEvent.ServerClosed(server, reason));
     }
 
     /**
@@ -424,7 +397,7 @@
     }
 
     /** An outcome is told after the action that led to it has returned, as on the simulator. */
-    void later(Runnable what) {
+    public void later(Runnable what) {
         group.execute(() -> guarded(what));
     }
 
@@ -438,7 +411,7 @@
     }
 
     /** Tells the module; an exception in it is logged and never gets to the loop. */
-    private boolean tell(Consumer<Gateway.Events> event) {
+    private boolean tell(Consumer<PolicyEvents> event) {
         try {
             event.accept(module);
             return true;
@@ -457,7 +430,7 @@
         System.err.println(where + ": " + what + (at.length > 0 ? " at " + at[0] : ""));
     }
 
-    void flushLater(Channel channel) {
+    public void flushLater(Channel channel) {
         dirty.add(channel);
     }
 
@@ -475,7 +448,7 @@
     }
 
     /** Whether so much is held that clients should be read no further. */
-    boolean full() {
+    public boolean full() {
         return held > HELD;
     }
 
@@ -485,11 +458,11 @@
      * Takes a request, with the large value that comes with it or null; answers what is wrong, or null. The
      * client's wait begins with its last byte, and that is believed to come at the pace so far.
      */
-    String take(ClientListener.Slot slot, ArrayRedisMessage command, Body body) {
+    public String take(ClientListener.Slot slot, ArrayRedisMessage command, RequestBody body) {
         double now = now();
-        Call call;
+        ClientCommand call;
         try {
-            call = Call.of(command, config.settings());
+            call = ClientCommand.of(command, config.settings());
         } catch (IllegalArgumentException e) {
             return e.getMessage();
         }
@@ -506,17 +479,17 @@
         }
         double wait = call.patience() + (body == null ? 0 : body.rest(now));
         double patience = Math.max(1, Math.min(wait, endsAt - now) - WAY_BACK);
-        Request r = new Request(++lastId, slot, retained(command), call, body, now + patience, now + wait);
+        ActiveRequest r = new ActiveRequest(++lastId, slot, retained(command), call, body, now + patience, now + wait);
         slot.request = r;
         held += r.bytes;
         openRequests++;
         requests.put(r.id, r);
         r.timer = after(patience + 1, () -> waited(r));
-        event(new Event.Taken(
+        event(new NodeEvent.Taken(
                 call.id(), call.type(), slot.connection(), slot.connectionAge(), slot.commandsBefore(), patience));
-        if (!tell(m -> m.arrived(
+        if (!tell(m -> m.onRequest(
                 now,
-                new Gateway.Request(
+                new IncomingRequest(
                         r.id,
                         call.type(),
                         call.plan(),
@@ -526,20 +499,20 @@
                         call.spread(),
                         call.first(),
                         call.again())))) {
-            giveUp(r, Gateway.EndReason.NO_DECISION);
+            giveUp(r, FailureReason.NO_DECISION);
         }
         return null;
     }
 
     /** Refused at once: what is open when the process is killed is lost, and that may come now. */
-    private void refuseAtEnd(ClientListener.Slot slot, Call call, Body body) {
+    private void refuseAtEnd(ClientListener.Slot slot, ClientCommand call, RequestBody body) {
         ids.remove(call.id());
         if (body != null) {
             body.drop();
         }
-        metrics.ended(call.type(), Metrics.Outcome.THROTTLED);
-        metrics.unserved(Metrics.Outcome.THROTTLED, Gateway.EndReason.SHUTDOWN);
-        event(new Event.Answered(call.id(), Metrics.Outcome.THROTTLED, Gateway.EndReason.SHUTDOWN));
+        metrics.ended(call.type(), RequestOutcome.THROTTLED);
+        metrics.unserved(RequestOutcome.THROTTLED, FailureReason.SHUTDOWN);
+        event(new NodeEvent.Answered(call.id(), RequestOutcome.THROTTLED, FailureReason.SHUTDOWN));
         slot.answer(new ErrorRedisMessage("BUSY"));
     }
 
@@ -549,64 +522,64 @@
     }
 
     /** The client's wait is over: attempts still out have timed out, and the module has the last word. */
-    private void waited(Request r) {
+    private void waited(ActiveRequest r) {
         if (!r.over) { // first: whatever the attempts' ends lead to, the answer comes
-            r.timer = after(LAST_WORD, () -> giveUp(r, Gateway.EndReason.NO_DECISION));
+            r.timer = after(LAST_WORD, () -> giveUp(r, FailureReason.NO_DECISION));
         }
-        for (ServerPool.Attempt a : r.attempts.toArray(new ServerPool.Attempt[0])) {
-            servers.giveUp(a, Gateway.Outcome.TIMEOUT);
+        for (EndpointPool.Attempt a : r.attempts.toArray(new EndpointPool.Attempt[0])) {
+            servers.giveUp(a, CallOutcome.TIMEOUT);
         }
     }
 
     /** A request that the module has let lie or choked on fails; each request gets one answer. */
-    void giveUp(Request r, Gateway.EndReason reason) {
+    public void giveUp(ActiveRequest r, FailureReason reason) {
         if (!r.over) {
             fail(r, reason);
-            tell(m -> m.gone(now(), r.id));
+            tell(m -> m.onClientDisconnected(now(), r.id));
         }
     }
 
     /** The client has gone. An attempt whose last byte is not out would begin only later: it never does. */
-    void gone(Request r) {
+    public void gone(ActiveRequest r) {
         if (!r.over) {
-            event(new Event.Abandoned(r.call.id()));
+            event(new NodeEvent.Abandoned(r.call.id()));
             over(r);
-            tell(m -> m.gone(now(), r.id));
-            for (ServerPool.Attempt a : r.attempts) {
+            tell(m -> m.onClientDisconnected(now(), r.id));
+            for (EndpointPool.Attempt a : r.attempts) {
                 later(() -> servers.recall(a));
             }
             settle(r);
         }
     }
 
-    private void fail(Request r, Gateway.EndReason reason) {
-        answer(r, new ErrorRedisMessage("ERR failed"), Metrics.Outcome.FAULTED, reason);
+    private void fail(ActiveRequest r, FailureReason reason) {
+        answer(r, new ErrorRedisMessage("ERR failed"), RequestOutcome.FAULTED, reason);
     }
 
-    private void answer(Request r, RedisMessage message, Metrics.Outcome outcome, Gateway.EndReason reason) {
+    private void answer(ActiveRequest r, RedisMessage message, RequestOutcome outcome, FailureReason reason) {
         metrics.unserved(outcome, reason);
         last(r, message, outcome, reason);
         settle(r);
     }
 
     /** The one answer of a request, and the one place where its outcome is counted. */
-    private void last(Request r, RedisMessage message, Metrics.Outcome outcome, Gateway.EndReason reason) {
+    private void last(ActiveRequest r, RedisMessage message, RequestOutcome outcome, FailureReason reason) {
         if (!guard.mayAnswer(r.call.id(), r.over, now() - r.clientEnds)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        event(new Event.Answered(r.call.id(), outcome, reason));
+        event(new NodeEvent.Answered(r.call.id(), outcome, reason));
         over(r);
         metrics.ended(r.call.type(), outcome);
         r.slot.answer(message);
     }
 
-    private void over(Request r) {
+    private void over(ActiveRequest r) {
         r.over = true;
         r.overAt = now();
         if (r.body != null && !r.body.whole()) { // what is out of it cannot become a command
             r.body.drop();
-            later(() -> r.attempts.forEach(a -> servers.giveUp(a, Gateway.Outcome.CANCELLED)));
+            later(() -> r.attempts.forEach(a -> servers.giveUp(a, CallOutcome.CANCELLED)));
         } else if (r.body != null) {
             r.body.drop();
         }
@@ -618,7 +591,7 @@
     }
 
     /** Forgets a request once it is over and nothing is out for it. */
-    private void settle(Request r) {
+    private void settle(ActiveRequest r) {
         if (r.over && r.out == 0 && requests.remove(r.id) != null) {
             r.timer.cancel(false);
             ids.remove(r.call.id());
@@ -634,26 +607,26 @@
     // ---- from servers, counter and discovery ----
 
     /** The last byte of an attempt for this request is written. */
-    void relayed(Request r) {
+    public void relayed(ActiveRequest r) {
         metrics.relayed();
         guard.written(r.call.id(), r.over ? now() - r.overAt : 0);
     }
 
-    void attemptEnded(ServerPool.Attempt a, Gateway.Outcome outcome, RedisMessage value, double[] load) {
-        Request r = a.request;
+    public void attemptEnded(EndpointPool.Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
+        ActiveRequest r = a.request;
         r.out--;
         double now = now();
-        if (outcome != Gateway.Outcome.OK && r.body != null && r.body.isGone()) {
+        if (outcome != CallOutcome.OK && r.body != null && r.body.isGone()) {
             r.body.drop(); // it went with this attempt; what still comes of it goes nowhere
         }
-        if (outcome == Gateway.Outcome.OK && !r.over) {
-            last(r, ReferenceCountUtil.retain(value), Metrics.Outcome.FULFILLED, null);
+        if (outcome == CallOutcome.OK && !r.over) {
+            last(r, ReferenceCountUtil.retain(value), RequestOutcome.FULFILLED, null);
         }
-        event(new Event.Ended(r.call.id(), a.number, a.server, outcome, now - a.sent));
+        event(new NodeEvent.Ended(r.call.id(), a.number, a.server, outcome, now - a.sent));
         a.outcome = outcome;
-        boolean told = tell(m -> m.ended(now, r.id, a.number, outcome, now - a.sent, r.over, 0, load));
+        boolean told = tell(m -> m.onAttemptEnded(now, r.id, a.number, outcome, now - a.sent, r.over, 0, load));
         if (!told) {
-            giveUp(r, Gateway.EndReason.NO_DECISION);
+            giveUp(r, FailureReason.NO_DECISION);
         }
         settle(r);
     }
@@ -662,56 +635,56 @@
      * A large value has begun to come: the attempt has ended, for how long a client takes to read tells
      * nothing of the server, and the value is on its way. Null where nobody waits for it.
      */
-    ValueStream begun(ServerPool.Attempt a, int length, ValueStream.Source from) {
-        Request r = a.request;
+    public StreamedResponse begun(EndpointPool.Attempt a, int length, StreamedResponse.Source from) {
+        ActiveRequest r = a.request;
         r.out--;
         double now = now();
-        ValueStream stream = null;
-        event(new Event.Ended(r.call.id(), a.number, a.server, Gateway.Outcome.OK, now - a.sent));
-        a.outcome = Gateway.Outcome.OK;
+        StreamedResponse stream = null;
+        event(new NodeEvent.Ended(r.call.id(), a.number, a.server, CallOutcome.OK, now - a.sent));
+        a.outcome = CallOutcome.OK;
         if (!r.over) {
             over(r);
             openRequests++; // until the stream ends
-            stream = new ValueStream(this, from, r.slot, r.call.type(), length);
+            stream = new StreamedResponse(this, from, r.slot, r.call.type(), length);
             r.slot.stream(stream);
         }
-        tell(m -> m.ended(now, r.id, a.number, Gateway.Outcome.OK, now - a.sent, true, 0, ServerPool.NO_LOAD));
+        tell(m -> m.onAttemptEnded(now, r.id, a.number, CallOutcome.OK, now - a.sent, true, 0, EndpointPool.NO_LOAD));
         settle(r);
         return stream;
     }
 
     /** A stream has ended: with an outcome, or with none where its client has gone. */
-    void streamed(String type, Metrics.Outcome outcome) {
+    public void streamed(String type, RequestOutcome outcome) {
         openRequests--;
         if (outcome != null) {
             metrics.ended(type, outcome);
         }
     }
 
-    void probed(String server, Gateway.Outcome outcome, double took, double[] load) {
-        tell(m -> m.probed(now(), server, outcome, took, load));
+    public void probed(String server, CallOutcome outcome, double took, double[] load) {
+        tell(m -> m.onHealthCheck(now(), server, outcome, took, load));
     }
 
-    void counted(long name, Gateway.Outcome outcome, double took, double total) {
-        tell(m -> m.counted(now(), name, outcome, took, total));
+    public void counted(long name, CallOutcome outcome, double took, double total) {
+        tell(m -> m.onCounterReply(now(), name, outcome, took, total));
     }
 
     /** A list, or a part of one. The pool hears first, so that what waits there does not go to a drain. */
     @Override
-    public void listed(List<Gateway.Server> list, boolean whole) {
+    public void listed(List<EndpointDescriptor> list, boolean whole) {
         if (whole) {
             servers.listBegins();
         }
-        for (Gateway.Server s : list) {
-            if (s.state() != Gateway.State.UP) {
-                event(new Event.ServerLeaves(s.id(), s.state()));
+        for (EndpointDescriptor s : list) {
+            if (s.state() != EndpointState.UP) {
+                event(new NodeEvent.ServerLeaves(s.id(), s.state()));
             }
         }
         servers.listed(list);
         if (whole) {
             servers.listEnds();
         }
-        tell(m -> m.servers(now(), list, whole));
+        tell(m -> m.onEndpoints(now(), list, whole));
         if (!list.isEmpty()) {
             servers.known();
         }
@@ -721,13 +694,13 @@
     @Override
     public void listBegins() {
         servers.listBegins();
-        tell(m -> m.listBegins(now()));
+        tell(m -> m.onEndpointListStarted(now()));
     }
 
     @Override
     public void listEnds() {
         servers.listEnds();
-        tell(m -> m.listEnds(now()));
+        tell(m -> m.onEndpointListCompleted(now()));
         servers.known();
     }
 
@@ -738,23 +711,23 @@
 
     @Override
     public void discoveryFailed() {
-        tell(m -> m.discoveryFailed(now()));
+        tell(m -> m.onDiscoveryFailed(now()));
     }
 
     // ---- from operators ----
 
-    String figures() {
+    public String figures() {
         int[] avoided = new int[1];
         if (module != null) {
-            tell(m -> avoided[0] = m.avoided(now()));
+            tell(m -> avoided[0] = m.unavailableEndpointCount(now()));
         }
-        return metrics.text(openRequests, module == null ? 0 : module.listed(), avoided[0]);
+        return metrics.text(openRequests, module == null ? 0 : module.endpointCount(), avoided[0]);
     }
 
     /** One call of the operators, with what becomes of it. */
-    void cordon(String server, boolean out, Consumer<Cordons.Result> answer) {
+    public void cordon(String server, boolean out, Consumer<CordonResult> answer) {
         if (module == null) { // too early to know any server
-            answer.accept(Cordons.Result.NOT_KEPT);
+            answer.accept(CordonResult.NOT_KEPT);
         } else {
             cordons.call(server, out, answer);
         }
@@ -762,62 +735,62 @@
 
     boolean cordon(String server, boolean out) {
         boolean[] known = new boolean[1];
-        return tell(m -> known[0] = m.cordon(now(), server, out)) && known[0];
+        return tell(m -> known[0] = m.setCordoned(now(), server, out)) && known[0];
     }
 
     void cordons(Set<String> servers) {
-        tell(m -> m.cordons(now(), servers));
+        tell(m -> m.replaceCordons(now(), servers));
     }
 
     // ---- actions of the module ----
 
     @Override
-    public void send(long id, String server, double until) {
-        Request r = requests.get(id);
+    public void sendAttempt(long id, String server, double until) {
+        ActiveRequest r = requests.get(id);
         if (r == null) {
             return;
         }
-        ServerPool.Attempt a = new ServerPool.Attempt(r, r.attempts.size(), server, now(), servers.told(server));
+        EndpointPool.Attempt a = new EndpointPool.Attempt(r, r.attempts.size(), server, now(), servers.told(server));
         r.attempts.add(a);
         r.out++;
         if (denies(a)) {
             a.done = true;
-            later(() -> attemptEnded(a, Gateway.Outcome.NOT_SENT, null, ServerPool.NO_LOAD));
+            later(() -> attemptEnded(a, CallOutcome.NOT_SENT, null, EndpointPool.NO_LOAD));
             return;
         }
-        Gateway.Outcome after = a.number == 0 ? null : r.attempts.get(a.number - 1).outcome;
-        event(new Event.Sent(r.call.id(), a.number, server, after));
+        CallOutcome after = a.number == 0 ? null : r.attempts.get(a.number - 1).outcome;
+        event(new NodeEvent.Sent(r.call.id(), a.number, server, after));
         if (after != null) {
             metrics.retried(after);
         }
         if (until > 0 && until < r.deadline) {
-            after(until - a.sent, () -> servers.giveUp(a, Gateway.Outcome.TIMEOUT));
+            after(until - a.sent, () -> servers.giveUp(a, CallOutcome.TIMEOUT));
         }
         servers.send(a);
     }
 
     @Override
-    public void cancel(long id, int attempt) {
-        Request r = requests.get(id);
+    public void cancelAttempt(long id, int attempt) {
+        ActiveRequest r = requests.get(id);
         if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
-            ServerPool.Attempt a = r.attempts.get(attempt);
-            later(() -> servers.giveUp(a, Gateway.Outcome.CANCELLED));
+            EndpointPool.Attempt a = r.attempts.get(attempt);
+            later(() -> servers.giveUp(a, CallOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
-        refuse(id, retryAfter, null);
+    public void reject(long id, double retryAfter) {
+        reject(id, retryAfter, null);
     }
 
     @Override
-    public void refuse(long id, double retryAfter, Gateway.EndReason reason) {
-        Request r = requests.get(id);
+    public void reject(long id, double retryAfter, FailureReason reason) {
+        ActiveRequest r = requests.get(id);
         if (r != null && !r.over) {
             answer(
                     r,
                     new ErrorRedisMessage(retryAfter > 0 ? "BUSY " + Math.round(retryAfter) : "BUSY"),
-                    Metrics.Outcome.THROTTLED,
+                    RequestOutcome.THROTTLED,
                     reason);
         }
     }
@@ -828,51 +801,51 @@
     }
 
     @Override
-    public void fail(long id, Gateway.EndReason reason) {
-        Request r = requests.get(id);
+    public void fail(long id, FailureReason reason) {
+        ActiveRequest r = requests.get(id);
         if (r != null && !r.over) {
             fail(r, reason);
         }
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         double due = now() + delay;
         after(delay, () -> {
             // the module keeps one timer for all: lost with an exception, nothing would fall due again
-            if (!tell(m -> m.timer(Math.max(now(), due), token))) {
-                timer(TIMER_AGAIN, token);
+            if (!tell(m -> m.onTimer(Math.max(now(), due), token))) {
+                scheduleTimer(TIMER_AGAIN, token);
             }
         });
     }
 
     @Override
-    public void probe(String server) {
+    public void checkHealth(String server) {
         servers.probe(server);
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
         counter.add(name, amount, keepFor);
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToEndpoints() {
         discovery.subscribe();
     }
 
     @Override
-    public void withdraw(String server) {
+    public void withdrawQueuedAttempts(String server) {
         servers.withdraw(server);
     }
 
     @Override
-    public void keep(Gateway.Server server) {
+    public void retainEndpoint(EndpointDescriptor server) {
         servers.keep(server);
     }
 
     @Override
-    public void release(String server) {
+    public void releaseEndpoint(String server) {
         servers.release(server);
     }
 }
--- a/src/main/java/willowyoke/net/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -1,8 +1,18 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import java.util.HashMap;
 import java.util.Map;
-import willowyoke.Gateway;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.Invariant;
+import quotagateway.lifecycle.NodeState;
+import quotagateway.lifecycle.SendDenial;
+import quotagateway.policy.api.Capabilities;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.upstream.EndpointPool;
 
 /**
  * The one guard of what may lose, repeat or misplace a request: sending an attempt, repeating it, ending a
@@ -10,44 +20,7 @@
  * What must hold whatever the peers do is an invariant: a violation is counted, told in the event log with
  * what led to it, and is a fault of this program. All of it runs on the node's loop.
  */
-final class LifecycleGuard {
-    /** Why an attempt must not be sent, or not any more. Denials are ordinary: time goes on meanwhile. */
-    enum Denial {
-        /** The request has its answer. */
-        REQUEST_OVER,
-        /** The client has gone: an attempt that begins later counts as lost. */
-        CLIENT_GONE,
-        /** The large value that belongs to it went out with another attempt. */
-        VALUE_GONE,
-        /** The client's time is over, or the process's. */
-        NO_TIME,
-        /** The settings allow no further attempt. */
-        ATTEMPTS_USED,
-        /** Another attempt is out, and the settings allow no copies. */
-        COPY_OUT,
-        /** One may have run, and the class must not be repeated. */
-        NOT_REPEATABLE,
-        /** One may have run, and its servers may not know the key any more when this one comes. */
-        WINDOW_OVER,
-        /** One may have run, at a server of another group than this one's. */
-        OTHER_GROUP
-    }
-
-    /** What holds at any time. */
-    enum Invariant {
-        /** A request has one answer. */
-        ONE_ANSWER,
-        /** A request is answered within half a second of its time. */
-        ANSWERED_IN_TIME,
-        /** An attempt is written out within a tenth of a second of its request's end. */
-        SENT_WITHIN_REQUEST,
-        /** A connection that this node ends owes no answer. */
-        CLOSED_OWING_NOTHING,
-        /** A process that ends by itself owes no answer. */
-        ENDED_OWING_NOTHING,
-        /** No request is taken by a process that has ended its work. */
-        TAKEN_BEFORE_THE_END
-    }
+public final class LifecycleGuard {
 
     /** A node may be held up so long (ms) between reading its clock and writing. */
     private static final double HOLD_UP = 150;
@@ -61,21 +34,21 @@
         void violated(Invariant invariant, String request);
     }
 
-    private final Gateway.Allowed allowed;
-    private final Map<String, Gateway.RequestClass> classes = new HashMap<>();
+    private final Capabilities allowed;
+    private final Map<String, RequestClass> classes = new HashMap<>();
     private final Listener listener;
-    private Phase phase = Phase.STARTING;
+    private NodeState phase = NodeState.STARTING;
 
-    LifecycleGuard(Gateway.Settings settings, Listener listener) {
+    LifecycleGuard(PolicySettings settings, Listener listener) {
         this.listener = listener;
-        allowed = settings.allowed();
-        settings.classes().forEach(c -> classes.put(c.name(), c));
+        allowed = settings.capabilities();
+        settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     }
 
     // ---- the process ----
 
     /** Enters a state; false where it is past it: states have an order, and none is entered twice. */
-    boolean enter(Phase next) {
+    boolean enter(NodeState next) {
         if (next.compareTo(phase) <= 0) {
             return false;
         }
@@ -84,12 +57,12 @@
     }
 
     boolean hasEnded() {
-        return phase == Phase.ENDED;
+        return phase == NodeState.ENDED;
     }
 
     /** A process that was told to end, during its start too, does not begin to listen. */
-    boolean mayListen() {
-        return phase.compareTo(Phase.DRAINING) < 0;
+    public boolean mayListen() {
+        return phase.compareTo(NodeState.DRAINING) < 0;
     }
 
     /** Whether the process may end now by itself; past its last moment it does so all the same. */
@@ -123,7 +96,7 @@
     }
 
     /** Whether a client's connection may be ended now by this node; else its requests are answered first. */
-    boolean mayClose(CloseReason reason, int openRequests) {
+    public boolean mayClose(CloseReason reason, int openRequests) {
         // behind half a value no answer can be told apart, and who reads nothing cannot be answered
         boolean excused = reason == CloseReason.VALUE_BROKEN_OFF || reason == CloseReason.UNREAD;
         if (openRequests > 0 && !excused) {
@@ -136,25 +109,25 @@
     // ---- attempts ----
 
     /** Why this attempt may not be written now; null where it may. */
-    Denial denial(Node.Request r, ServerPool.Attempt a, double now) {
+    SendDenial denial(ActiveRequest r, EndpointPool.Attempt a, double now) {
         if (r.over) {
-            return Denial.REQUEST_OVER;
+            return SendDenial.REQUEST_OVER;
         }
         if (r.slot.isClosed()) {
-            return Denial.CLIENT_GONE;
+            return SendDenial.CLIENT_GONE;
         }
         if (r.body != null && r.body.isGone()) {
-            return Denial.VALUE_GONE;
+            return SendDenial.VALUE_GONE;
         }
         if (now >= r.deadline) {
-            return Denial.NO_TIME;
+            return SendDenial.NO_TIME;
         }
-        if (a.number >= allowed.attempts()) {
-            return Denial.ATTEMPTS_USED;
+        if (a.number >= allowed.maxAttempts()) {
+            return SendDenial.ATTEMPTS_USED;
         }
-        Gateway.RequestClass type = classes.get(r.call.type());
-        for (ServerPool.Attempt before : r.attempts.subList(0, a.number)) {
-            Denial denial = repeat(type, before, a, now);
+        RequestClass type = classes.get(r.call.type());
+        for (EndpointPool.Attempt before : r.attempts.subList(0, a.number)) {
+            SendDenial denial = repeat(type, before, a, now);
             if (denial != null) {
                 return denial;
             }
@@ -163,29 +136,31 @@
     }
 
     /** Why an attempt may not follow this one before it; null where it may. */
-    Denial repeat(Gateway.RequestClass type, ServerPool.Attempt before, ServerPool.Attempt next, double now) {
+    SendDenial repeat(RequestClass type, EndpointPool.Attempt before, EndpointPool.Attempt next, double now) {
         boolean out = !before.done;
-        if (out && !allowed.copies()) {
-            return Denial.COPY_OUT;
+        if (out && !allowed.hedging()) {
+            return SendDenial.COPY_OUT;
         }
-        boolean ran = out || before.outcome != null && !before.outcome.neverRan;
-        if (!ran || type != null && type.effect() == Gateway.Effect.SAFE) {
+        boolean ran = out || before.outcome != null && !before.outcome.provesNotExecuted;
+        if (!ran || type != null && type.idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
-        if (type == null || type.effect() == Gateway.Effect.UNSAFE) {
-            return Denial.NOT_REPEATABLE;
+        if (type == null || type.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            return SendDenial.NOT_REPEATABLE;
         }
-        if (now - before.sent >= type.window() - HOLD_UP) {
-            return Denial.WINDOW_OVER;
+        if (now - before.sent >= type.idempotencyWindow() - HOLD_UP) {
+            return SendDenial.WINDOW_OVER;
         }
-        return type.staysInGroup() && !sameGroup(type.group(), before.place, next.place) ? Denial.OTHER_GROUP : null;
+        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.place, next.place)
+                ? SendDenial.OTHER_GROUP
+                : null;
     }
 
-    private static boolean sameGroup(Gateway.Group group, Gateway.Server one, Gateway.Server other) {
+    private static boolean sameGroup(RetryScope group, EndpointDescriptor one, EndpointDescriptor other) {
         if (one == null || other == null) {
             return false;
         }
-        return group == Gateway.Group.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
+        return group == RetryScope.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
     }
 
     /** An attempt has been written out, so long (ms) after its request was over, or 0. */
--- a/src/main/java/willowyoke/net/Handover.java
+++ b/src/main/java/quotagateway/node/ProcessHandover.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,12 +11,12 @@
  * the process that listened last. At its end a process learns from it whether another has taken its place.
  * All of it blocks on files, and is called from beside the loop.
  */
-final class Handover {
+final class ProcessHandover {
     private final Path file;
     /** Names this process, and in tests this one node of it. */
     private final String me = ProcessHandle.current().pid() + " " + System.nanoTime();
 
-    Handover(Path folder, String name) {
+    ProcessHandover(Path folder, String name) {
         file = folder.resolve("serving-" + name);
     }
 
--- a/src/main/java/willowyoke/Hangup.java
+++ b/src/main/java/quotagateway/node/ReloadSignal.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.node;
 
 import java.lang.reflect.Proxy;
 
@@ -7,17 +7,17 @@
  * as a compiler that takes warnings for errors refuses its names, and they cannot be excused in the source.
  * What comes before there is anyone to tell is kept: the configuration has been read by then.
  */
-final class Hangup {
+public final class ReloadSignal {
     private Runnable then;
     private boolean missed;
 
     /** Catches each SIGHUP from here on, on a thread of the JVM's own. */
-    void caught() {
+    public void caught() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object proxy = Proxy.newProxyInstance(
-                    Hangup.class.getClassLoader(),
+                    ReloadSignal.class.getClassLoader(),
                     new Class<?>[] {handler},
                     (self, method, args) -> switch (method.getName()) {
                         case "handle" -> {
@@ -45,7 +45,7 @@
     }
 
     /** From here on this is run for each, and now for those that have come before, once for all. */
-    synchronized void to(Runnable what) {
+    public synchronized void to(Runnable what) {
         then = what;
         if (missed) {
             missed = false;
--- a/src/main/java/willowyoke/Decide.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -1,11 +1,29 @@
 // What goes in and out is declared in Gateway.java: Events in, Actions out.
-package willowyoke;
+package quotagateway.policy;
 
 import java.nio.charset.StandardCharsets;
 import java.util.*;
+import quotagateway.policy.admission.DecayingMode;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.policy.endpoint.ConsistentHashRing;
+import quotagateway.policy.endpoint.EndpointCatalog;
+import quotagateway.policy.endpoint.EndpointSubset;
+import quotagateway.policy.quota.FifoMultimap;
+import quotagateway.policy.timer.TimerQueue;
 
 /** Every decision of one gateway. The same events give the same actions; all chance comes from one seed. */
-public final class Decide implements Gateway.Events {
+public final class Policy implements PolicyEvents {
     // ---- constants, each with its reason ----
 
     /** The design re-splits four times a second. */
@@ -85,23 +103,23 @@
 
     // ---- state ----
 
-    private final Gateway.Settings set;
-    private final Gateway.Actions act;
+    private final PolicySettings set;
+    private final PolicyActions act;
     private final Random random;
     private double now;
     private long serial;
     private final Map<String, Type> types = new HashMap<>();
-    private final Map<String, Gateway.Plan> plans = new HashMap<>();
+    private final Map<String, QuotaPlan> plans = new HashMap<>();
     private final Map<String, Customer> customers = new HashMap<>();
     private final ArrayDeque<Customer> ring = new ArrayDeque<>();
     private final Map<Long, Req> requests = new HashMap<>();
     /** All that the lists tell; of those the ones that were used or taken out by hand; and the set in use. */
-    private final ServerList list;
+    private final EndpointCatalog list;
 
-    private final WorkingSet working;
+    private final EndpointSubset working;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final TreeMap<String, Host> members = new TreeMap<>();
-    private final FifoMap<Long, Call> calls = new FifoMap<>();
+    private final FifoMultimap<Long, Call> calls = new FifoMultimap<>();
     private final TimerQueue<Timer> timers;
     private double sendRate, meanAim, longestAim, sentInPeriod, outMean, outInPeriod;
     private double counterSilentUntil, usuallyInside = 1, silentSince;
@@ -117,13 +135,13 @@
 
     /** A class with the mean time that its answers take. */
     private static final class Type {
-        final Gateway.RequestClass told;
-        final Mode waits = new Mode(WAITS + 1, WAITS_KEPT);
+        final RequestClass told;
+        final DecayingMode waits = new DecayingMode(WAITS + 1, WAITS_KEPT);
         double mean;
 
-        Type(Gateway.RequestClass told) {
+        Type(RequestClass told) {
             this.told = told;
-            mean = told.aim() / 8; // until seen: an aim leaves room for a queue, a retry and the way
+            mean = told.latencyObjective() / 8; // until seen: an aim leaves room for a queue, a retry and the way
         }
 
         /** How long (ms) the client has waited: one that names less than most has the rest of its time. */
@@ -135,7 +153,7 @@
 
     private static final class Customer {
         final long key;
-        final Gateway.Plan plan;
+        final QuotaPlan plan;
         final int spread;
         final TreeSet<Req> queue =
                 new TreeSet<>(Comparator.<Req>comparingDouble(r -> r.useful).thenComparingLong(r -> r.serial));
@@ -153,7 +171,7 @@
 
         boolean asking, inRing, doubted;
 
-        Customer(String name, Gateway.Plan plan, int spread, int place, double now) {
+        Customer(String name, QuotaPlan plan, int spread, int place, double now) {
             this.plan = plan;
             this.spread = Math.max(1, spread);
             this.place = place;
@@ -165,7 +183,7 @@
     }
 
     private static final class Req {
-        final Gateway.Request told;
+        final IncomingRequest told;
         final Type type;
         final Customer customer;
         final double deadline, useful;
@@ -174,12 +192,12 @@
         boolean over, streaming;
         int out;
 
-        Req(Gateway.Request told, Type type, Customer customer, double now, double left, long serial) {
+        Req(IncomingRequest told, Type type, Customer customer, double now, double left, long serial) {
             this.told = told;
             this.type = type;
             this.customer = customer;
             this.serial = serial;
-            deadline = now + told.patience();
+            deadline = now + told.clientTimeout();
             useful = Math.min(now + left, deadline);
         }
     }
@@ -188,7 +206,7 @@
         final Req req;
         final Host host;
         final double sent;
-        Gateway.Outcome outcome;
+        CallOutcome outcome;
 
         Attempt(Req req, Host host, double sent) {
             this.req = req;
@@ -197,13 +215,13 @@
         }
 
         boolean mayHaveRun() {
-            return outcome == null || !outcome.neverRan;
+            return outcome == null || !outcome.provesNotExecuted;
         }
     }
 
     private static final class Host {
         final String id;
-        Gateway.Server told;
+        EndpointDescriptor told;
         boolean cordoned;
         /** When a server that was put back is owed its first request. */
         double backAt = Double.MAX_VALUE;
@@ -243,47 +261,47 @@
 
     private record Timer(Kind kind, Req req) {}
 
-    public Decide(Gateway.Settings settings, long seed, double now, Gateway.Actions actions) {
+    public Policy(PolicySettings settings, long seed, double now, PolicyActions actions) {
         set = settings;
         act = actions;
         random = new Random(seed);
         timers = new TimerQueue<>(actions);
         this.now = now;
-        for (Gateway.RequestClass c : settings.classes()) {
+        for (RequestClass c : settings.requestClasses()) {
             types.put(c.name(), new Type(c));
-            longestAim = Math.max(longestAim, c.aim());
-            meanAim += c.aim() / settings.classes().size();
+            longestAim = Math.max(longestAim, c.latencyObjective());
+            meanAim += c.latencyObjective() / settings.requestClasses().size();
         }
         settings.plans().forEach(p -> plans.put(p.name(), p));
-        list = new ServerList(settings.nodes());
-        working = new WorkingSet(settings, list);
-        window = Math.max(1, CALLS / settings.nodes());
+        list = new EndpointCatalog(settings.nodeCount());
+        working = new EndpointSubset(settings, list);
+        window = Math.max(1, CALLS / settings.nodeCount());
         at(Kind.EDGE, nextEdge(), null);
-        if (settings.mustAsk()) {
-            act.subscribe();
+        if (settings.mustSubscribe()) {
+            act.subscribeToEndpoints();
         }
     }
 
     // ---- events ----
 
     @Override
-    public void servers(double time, List<Gateway.Server> told, boolean whole) {
+    public void onEndpoints(double time, List<EndpointDescriptor> told, boolean whole) {
         begin(time);
         list.take(told, whole);
         told.stream()
-                .filter(s -> hosts.containsKey(s.id()) || s.state() == Gateway.State.UP && working.covers(s.id()))
+                .filter(s -> hosts.containsKey(s.id()) || s.state() == EndpointState.UP && working.covers(s.id()))
                 .forEach(this::told);
         changed(whole);
     }
 
     @Override
-    public void listBegins(double time) {
+    public void onEndpointListStarted(double time) {
         begin(time);
         list.begin();
     }
 
     @Override
-    public void listEnds(double time) {
+    public void onEndpointListCompleted(double time) {
         begin(time);
         list.end();
         changed(true);
@@ -299,17 +317,17 @@
             long out = hosts.values().stream()
                     .filter(h -> h.cordoned && list.isUp(h.id))
                     .count();
-            paceRate = Math.max(paceRate, 2000.0 * (list.up() - out) / set.nodes() / (meanAim / 8));
+            paceRate = Math.max(paceRate, 2000.0 * (list.up() - out) / set.nodeCount() / (meanAim / 8));
             paceCredit = Math.max(2, paceRate * SUBPERIOD / 1000);
         }
         pump();
     }
 
-    private Host told(Gateway.Server s) {
+    private Host told(EndpointDescriptor s) {
         Host h = hosts.computeIfAbsent(s.id(), Host::new);
         boolean restarted = h.told != null && s.startedAt() > h.told.startedAt();
         h.told = s;
-        if (s.startedAt() > 0 && s.startedAt() + set.rules().warmAfter() > now) {
+        if (s.startedAt() > 0 && s.startedAt() + set.rules().slowStartDuration() > now) {
             cold(h, s.startedAt());
         }
         if (restarted) {
@@ -323,13 +341,13 @@
     private void place(Host h) {
         if (!h.cordoned && list.isUp(h.id) && working.covers(h.id)) {
             if (members.put(h.id, h) == null) {
-                act.keep(h.told);
+                act.retainEndpoint(h.told);
                 usualUp = Math.max(usualUp, members.size());
             }
         } else {
             members.remove(h.id);
             if (h.out.isEmpty()) {
-                act.release(h.id);
+                act.releaseEndpoint(h.id);
             }
         }
     }
@@ -353,60 +371,60 @@
     }
 
     @Override
-    public boolean cordon(double time, String server, boolean out) {
+    public boolean setCordoned(double time, String server, boolean out) {
         begin(time);
         Host h = known(server);
         if (h == null || h.told == null && !h.cordoned) {
             return false;
         }
-        cordon(h, out);
+        setCordoned(h, out);
         pump();
         return true;
     }
 
     @Override
-    public void cordons(double time, Set<String> servers) {
+    public void replaceCordons(double time, Set<String> servers) {
         begin(time);
         for (String server : servers) { // those too that the list is yet to name
             Host h = known(server);
-            cordon(h == null ? hosts.computeIfAbsent(server, Host::new) : h, true);
+            setCordoned(h == null ? hosts.computeIfAbsent(server, Host::new) : h, true);
         }
-        hosts.values().stream().filter(h -> !servers.contains(h.id)).forEach(h -> cordon(h, false));
+        hosts.values().stream().filter(h -> !servers.contains(h.id)).forEach(h -> setCordoned(h, false));
         pump();
     }
 
     /** A server that was used or taken out, or that the list has, or null. */
     private Host known(String id) {
-        Gateway.Server s = hosts.containsKey(id) ? null : list.get(id);
+        EndpointDescriptor s = hosts.containsKey(id) ? null : list.get(id);
         return s == null ? hosts.get(id) : told(s);
     }
 
     /** Out: nothing new, whatever the list says. Back: it may have restarted meanwhile, so it is cold. */
-    private void cordon(Host h, boolean out) {
+    private void setCordoned(Host h, boolean out) {
         if (h.cordoned == out) {
             return;
         }
         h.cordoned = out;
         place(h);
         if (out) {
-            act.withdraw(h.id);
+            act.withdrawQueuedAttempts(h.id);
         } else {
             asNew(h);
             h.trial = h.wasDead = false;
             cold(h, now);
-            double apart = Math.min(set.nodes() * set.rules().overloadFor() / BACK_TOGETHER, 1 / coldRate(h));
+            double apart = Math.min(set.nodeCount() * set.rules().overloadWindow() / BACK_TOGETHER, 1 / coldRate(h));
             h.backAt = now + BACK_FROM + Math.max(BACK_TO - BACK_FROM, apart) * random.nextDouble();
             at(Kind.RETRY, h.backAt, null);
         }
     }
 
     @Override
-    public int listed() {
+    public int endpointCount() {
         return list.size();
     }
 
     @Override
-    public int avoided(double time) {
+    public int unavailableEndpointCount(double time) {
         return list.size()
                 - list.up()
                 + (int) hosts.values().stream()
@@ -415,28 +433,33 @@
     }
 
     @Override
-    public void discoveryFailed(double time) {
+    public void onDiscoveryFailed(double time) {
         begin(time);
-        if (set.mustAsk()) {
+        if (set.mustSubscribe()) {
             at(Kind.SUBSCRIBE, now + subscribeBackoff * (0.5 + random.nextDouble()), null);
             subscribeBackoff = Math.min(2 * subscribeBackoff, 32 * SUBPERIOD);
         }
     }
 
     @Override
-    public void arrived(double time, Gateway.Request told) {
+    public void onRequest(double time, IncomingRequest told) {
         begin(time);
-        Type type = types.get(told.type());
-        Gateway.Plan plan = plans.get(told.plan());
+        Type type = types.get(told.requestClass());
+        QuotaPlan plan = plans.get(told.plan());
         if (type == null || plan == null) {
             // nothing is told of such a class or plan: no quota can be kept for it
-            act.refuse(told.id(), 0, Gateway.EndReason.NOT_IN_SETTINGS);
+            act.reject(told.id(), 0, FailureReason.NOT_IN_SETTINGS);
             return;
         }
         String holder = told.customer() + ' ' + told.plan(); // a customer's other plan has a quota of its own
         Customer c = customers.get(holder);
         if (c == null) {
-            c = new Customer(holder, plan, told.spread(), Math.floorMod(set.me() - told.first(), set.nodes()), now);
+            c = new Customer(
+                    holder,
+                    plan,
+                    told.gatewayCount(),
+                    Math.floorMod(set.nodeIndex() - told.firstGateway(), set.nodeCount()),
+                    now);
             c.credits = alone(c) ? Math.floor(plan.burst() / c.spread) : 0;
             c.inside = usuallyInside;
             customers.put(holder, c);
@@ -444,12 +467,12 @@
         c.seen = now;
         c.arrived += told.units();
         askedInPeriod++;
-        double left = type.told.aim() - type.waited(told.patience());
-        Req r = new Req(told, type, c, now, left > 0 ? left : type.told.aim(), serial++);
+        double left = type.told.latencyObjective() - type.waited(told.clientTimeout());
+        Req r = new Req(told, type, c, now, left > 0 ? left : type.told.latencyObjective(), serial++);
         requests.put(told.id(), r);
-        if (told.again() && now < c.shortUntil || left <= 0 && !plenty(c)) {
+        if (told.retry() && now < c.shortUntil || left <= 0 && !plenty(c)) {
             // its first try waited here until it was of no use: a fresh request earns more
-            answer(r, Gateway.EndReason.QUOTA_SHORT);
+            answer(r, FailureReason.QUOTA_SHORT);
             return;
         }
         c.queue.add(r);
@@ -466,17 +489,17 @@
     }
 
     @Override
-    public void firstAnswer(double time, long id, int attempt) {
+    public void onResponseStarted(double time, long id, int attempt) {
         begin(time);
         Optional.ofNullable(requests.get(id)).ifPresent(r -> r.streaming = true);
     }
 
     @Override
-    public void ended(
+    public void onAttemptEnded(
             double time,
             long id,
             int number,
-            Gateway.Outcome outcome,
+            CallOutcome outcome,
             double took,
             boolean over,
             int trueUnits,
@@ -493,7 +516,7 @@
         a.host.out.remove(a);
         place(a.host);
         learn(a.host, r.type, outcome, took);
-        if (outcome == Gateway.Outcome.OK && trueUnits > 0 && set.settled()) {
+        if (outcome == CallOutcome.OK && trueUnits > 0 && set.reportsActualUnits()) {
             r.customer.uncounted += trueUnits - r.told.units();
         }
         if (over || r.over) {
@@ -506,13 +529,13 @@
     }
 
     @Override
-    public void gone(double time, long id) {
+    public void onClientDisconnected(double time, long id) {
         begin(time);
         Optional.ofNullable(requests.get(id)).ifPresent(this::end);
     }
 
     @Override
-    public void timer(double time, long token) {
+    public void onTimer(double time, long token) {
         boolean last = timers.isLast(time); // an older reminder leaves the one still to come alone
         begin(time);
         pump();
@@ -522,7 +545,7 @@
     }
 
     @Override
-    public void counted(double time, long name, Gateway.Outcome outcome, double took, double total) {
+    public void onCounterReply(double time, long name, CallOutcome outcome, double took, double total) {
         begin(time);
         Call call = calls.poll(name);
         if (call == null) {
@@ -530,9 +553,9 @@
         }
         callsOut--;
         Customer c = call.customer;
-        boolean heard = outcome == Gateway.Outcome.OK;
+        boolean heard = outcome == CallOutcome.OK;
         // a connection that broke was up a moment ago: no sign that the counter is away
-        boolean alive = outcome == Gateway.Outcome.RESET || outcome == Gateway.Outcome.ERROR;
+        boolean alive = outcome == CallOutcome.RESET || outcome == CallOutcome.ERROR;
         misses = heard ? 0 : alive ? misses : misses + 1;
         crowding(outcome, took);
         if (heard) {
@@ -559,12 +582,12 @@
 
     /** The next edge here: gateways spread theirs over the subperiod, or the counter gets all at once. */
     private double nextEdge() {
-        double phase = SUBPERIOD * set.me() / set.nodes();
+        double phase = SUBPERIOD * set.nodeIndex() / set.nodeCount();
         return (Math.floor((now - phase) / SUBPERIOD) + 1) * SUBPERIOD + phase;
     }
 
     private boolean alone(Customer c) {
-        return !set.allowed().counter() || c.spread == 1;
+        return !set.capabilities().sharedCounter() || c.spread == 1;
     }
 
     private boolean mayCall() {
@@ -633,19 +656,19 @@
     }
 
     /** As TCP does: so many calls are out as the counter answers in time; a line there makes all late. */
-    private void crowding(Gateway.Outcome outcome, double took) {
-        double limit = set.allowed().counterTimeout();
-        if (outcome == Gateway.Outcome.FULL || outcome == Gateway.Outcome.TIMEOUT) {
+    private void crowding(CallOutcome outcome, double took) {
+        double limit = set.capabilities().counterTimeout();
+        if (outcome == CallOutcome.FULL || outcome == CallOutcome.TIMEOUT) {
             window *= CALLS_DOWN_LOST;
             // one call a gateway at least is out again at once, and a tier of them never lets the line go
             pauseCalls(limit);
-        } else if (outcome == Gateway.Outcome.OK && took > limit * CALL_SLOW) {
+        } else if (outcome == CallOutcome.OK && took > limit * CALL_SLOW) {
             window *= CALLS_DOWN;
-        } else if (outcome == Gateway.Outcome.OK && took < limit * CALL_QUICK && callsOut + 2 > window) {
+        } else if (outcome == CallOutcome.OK && took < limit * CALL_QUICK && callsOut + 2 > window) {
             window += window < 1 ? Math.max(CALLS_UP_LEAST, window * CALLS_UP) : 1 / window;
         }
         // so few calls as of a small tier make no line: late ones there are of a slow loop, or of silence
-        double least = Math.max(CALLS_LEAST, Math.min(1, CALLS / set.nodes()));
+        double least = Math.max(CALLS_LEAST, Math.min(1, CALLS / set.nodeCount()));
         window = Math.max(least, Math.min(CALLS_MOST, window));
     }
 
@@ -661,19 +684,19 @@
     private void call(Customer c, long name, double amount, Why why) {
         callsOut++;
         if (window < 1) {
-            pauseCalls(set.allowed().counterTimeout() / window);
+            pauseCalls(set.capabilities().counterTimeout() / window);
         }
         calls.add(name, new Call(c, why, amount));
-        act.count(name, amount, why.ordinal() < Why.TAKE_SLOT.ordinal() ? 2 * ACCOUNT : 2 * OPEN_EPOCH);
+        act.addToCounter(name, amount, why.ordinal() < Why.TAKE_SLOT.ordinal() ? 2 * ACCOUNT : 2 * OPEN_EPOCH);
     }
 
     /** A name on the counter, of a customer and an epoch. */
     private static long name(Customer c, long epoch) {
-        return Ring.mix(c.key + 2 * epoch) >>> 1;
+        return ConsistentHashRing.mix(c.key + 2 * epoch) >>> 1;
     }
 
     private static long slotName(Customer c, long epoch) {
-        return Ring.mix(c.key + 2 * epoch + 1) >>> 1;
+        return ConsistentHashRing.mix(c.key + 2 * epoch + 1) >>> 1;
     }
 
     /** The re-split: adds the weight of what is held and to come; the total tells what all put before it. */
@@ -708,8 +731,8 @@
     }
 
     /** Most calls on a connection that breaks were not added: taken as added, a tenth went beyond quotas. */
-    private static boolean lost(Gateway.Outcome outcome) {
-        return outcome.neverRan || outcome == Gateway.Outcome.RESET;
+    private static boolean lost(CallOutcome outcome) {
+        return outcome.provesNotExecuted || outcome == CallOutcome.RESET;
     }
 
     /** No store holds more than a burst, nor more than was last read of it and what has come since. */
@@ -734,9 +757,9 @@
         return c.plan.burst() + c.plan.rate() * (now - epoch * ACCOUNT) / 1000;
     }
 
-    private void claimHeard(Customer c, Gateway.Outcome outcome, double total) {
+    private void claimHeard(Customer c, CallOutcome outcome, double total) {
         c.asking = false;
-        if (outcome != Gateway.Outcome.OK) {
+        if (outcome != CallOutcome.OK) {
             // a late call is added all the same, as a crowded counter serves those too; the next add makes up
             c.uncounted += lost(outcome) ? c.added - c.claimed : -c.claimed;
             c.askAt = nextEdge();
@@ -752,8 +775,9 @@
         double excess = before - Math.max(-rate * longestAim, Math.min(before, most));
         boolean far = Math.abs(excess) > c.plan.burst() * DRIFT;
         // one of a set goes first with a name that is new to all; what is missing may be on its way back
-        double after =
-                excess < 0 ? SUBPERIOD : c.doubted ? c.place * set.allowed().counterTimeout() : 0;
+        double after = excess < 0
+                ? SUBPERIOD
+                : c.doubted ? c.place * set.capabilities().counterTimeout() : 0;
         c.farFrom = far ? Math.min(c.farFrom, now) : Double.MAX_VALUE;
         c.doubted &= far;
         boolean fix = far && now >= c.farFrom + after;
@@ -827,7 +851,7 @@
         }
         if (alone(c) || now < counterSilentUntil) {
             double from = Math.max(c.accruedAt, alone(c) ? 0 : silentSince);
-            double room = Math.max(set.mostUnits(), c.plan.burst() * c.share);
+            double room = Math.max(set.maxUnits(), c.plan.burst() * c.share);
             c.share += (1.0 / c.spread - c.share) * FAST * Math.min(1, (now - from) / SUBPERIOD);
             double more = Math.min(room - c.credits, c.plan.rate() * c.share * (now - from) / 1000);
             c.credits += Math.max(0, more);
@@ -838,12 +862,12 @@
 
     /** A slot of the open cap: by the count on the counter, by the even part while it is silent. */
     private boolean slot(Customer c) {
-        if (c.plan.open() <= 0 || c.out < c.slots.size()) {
+        if (c.plan.concurrencyLimit() <= 0 || c.out < c.slots.size()) {
             return true;
         }
         if (alone(c) || !mayCall()) {
             // the even part; where that is under one, one at a time while the last counts showed room
-            return c.out < c.plan.open() / c.spread || c.out == 0 && believed(c);
+            return c.out < c.plan.concurrencyLimit() / c.spread || c.out == 0 && believed(c);
         }
         if (!c.asking && now >= c.askAt) {
             c.asking = true;
@@ -856,8 +880,8 @@
     /** The answer to a try for a slot: within the cap it is ours, else given back and tried again. */
     private void slotHeard(Customer c, boolean heard, double total) {
         c.asking = false;
-        c.inside += heard ? ((total <= c.plan.open() ? 1 : 0) - c.inside) / 2 : 0;
-        if (heard && total <= c.plan.open()) {
+        c.inside += heard ? ((total <= c.plan.concurrencyLimit() ? 1 : 0) - c.inside) / 2 : 0;
+        if (heard && total <= c.plan.concurrencyLimit()) {
             c.slots.add(c.slotEpoch);
         } else if (heard) {
             call(c, slotName(c, c.slotEpoch), -1, Why.GIVE_SLOT);
@@ -875,7 +899,8 @@
     /** From here on a held request is of no use: it would be late, or its client has to try elsewhere. */
     private double lastCall(Req r) {
         return Math.min(
-                r.useful - LAST_CALL * r.type.mean, r.deadline - (1 - HELD_SHARE) * r.told.patience() - 2 * set.tick());
+                r.useful - LAST_CALL * r.type.mean,
+                r.deadline - (1 - HELD_SHARE) * r.told.clientTimeout() - 2 * set.tick());
     }
 
     private boolean covered(Customer c, Req r) {
@@ -900,17 +925,17 @@
                 && !c.asking
                 && !mayCall()
                 && c.plan.ceilingRate() <= 0
-                && !r.told.again()
+                && !r.told.retry()
                 && believed(c)
                 && Math.min(guess(c), c.left) >= Math.max(r.told.units(), c.plan.burst() * BELIEVED)
                 && (c.totalEpoch != Long.MIN_VALUE && now < c.levelAt + FORGET
-                        || 2 * now >= r.deadline - r.told.patience() + lastCall(r)); // half of its wait here
+                        || 2 * now >= r.deadline - r.told.clientTimeout() + lastCall(r)); // half of its wait here
     }
 
     /** Sending earns more than it costs, by what the plan tells, and servers are not pressed. */
     private boolean believed(Customer c) {
-        double cost = c.plan.overCost();
-        return paceRate >= askRate && c.inside > cost / (1 + cost - Math.min(c.plan.overWorth(), 0.99));
+        double cost = c.plan.excessCost();
+        return paceRate >= askRate && c.inside > cost / (1 + cost - Math.min(c.plan.excessWeight(), 0.99));
     }
 
     private double guess(Customer c) {
@@ -1000,7 +1025,7 @@
                 bestScore = score;
             }
         }
-        return r.type.told.staysInGroup() ? orOutside(r, best) : best;
+        return r.type.told.retriesStayInScope() ? orOutside(r, best) : best;
     }
 
     /** A repeat that must stay in a zone or cell, of which the set has no other, takes one outside. */
@@ -1009,10 +1034,10 @@
         if (ran.isEmpty() || found != null && r.attempts.stream().noneMatch(a -> a.host == found)) {
             return found;
         }
-        Gateway.Server first = ran.get().host.told;
-        return (r.type.told.group() == Gateway.Group.CELL
+        EndpointDescriptor first = ran.get().host.told;
+        return (r.type.told.retryScope() == RetryScope.CELL
                         ? list.inCell(first.cell())
-                        : list.inBuckets(working.buckets(working.covered, set.nodes())))
+                        : list.inBuckets(working.buckets(working.covered, set.nodeCount())))
                 .limit(LOOK)
                 .filter(s -> !working.covers(s.id()) && s.zone().equals(first.zone()))
                 .map(s -> known(s.id()))
@@ -1046,19 +1071,19 @@
 
     /** Additive increase where the bound was reached and the answer quick, else decrease. */
     private void bound(Host h, Type type, double took) {
-        if (took <= type.told.aim() / 2) { // later ones were counted when they became late
+        if (took <= type.told.latencyObjective() / 2) { // later ones were counted when they became late
             pace(false);
         }
-        if (took > type.told.aim() / 4) { // the rest is for waiting here and another try
+        if (took > type.told.latencyObjective() / 4) { // the rest is for waiting here and another try
             h.limit = Math.max(LIMIT_LEAST, h.limit * LIMIT_DOWN);
         } else if (h.out.size() + 1 >= (int) h.limit) {
             h.limit += 1 / Math.max(1, h.limit);
         }
     }
 
-    private void learn(Host h, Type type, Gateway.Outcome outcome, double took) {
-        boolean ok = outcome == Gateway.Outcome.OK;
-        if (outcome != Gateway.Outcome.CANCELLED && outcome != Gateway.Outcome.NOT_SENT) {
+    private void learn(Host h, Type type, CallOutcome outcome, double took) {
+        boolean ok = outcome == CallOutcome.OK;
+        if (outcome != CallOutcome.CANCELLED && outcome != CallOutcome.NOT_SENT) {
             h.failing.put(type, new double[] {(failing(h, type) + (ok ? 0 : 1)) / 2, now});
         }
         switch (outcome) {
@@ -1124,7 +1149,7 @@
         r.out++;
         r.customer.out++;
         if (!members.containsKey(h.id)) {
-            act.keep(h.told);
+            act.retainEndpoint(h.told);
         }
         h.out.add(a);
         h.coldCredit -= 1;
@@ -1133,13 +1158,13 @@
         sentInPeriod++;
         outInPeriod += r.type.mean;
         paceCredit--;
-        at(Kind.LATE, now + r.type.told.aim() / 2, r);
-        act.send(r.told.id(), h.id, 0);
+        at(Kind.LATE, now + r.type.told.latencyObjective() / 2, r);
+        act.sendAttempt(r.told.id(), h.id, 0);
     }
 
     /** Every attempt has ended without an answer: try elsewhere where it is allowed and of use, or answer. */
     private void again(Req r) {
-        Gateway.EndReason over = noRepeat(r);
+        FailureReason over = noRepeat(r);
         if (over != null) {
             answer(r, over);
             return;
@@ -1153,21 +1178,24 @@
     }
 
     /** Why no further attempt may follow those that have ended; null where one may. */
-    private Gateway.EndReason noRepeat(Req r) {
+    private FailureReason noRepeat(Req r) {
         if (now >= r.useful || now >= r.deadline - 2 * set.tick()) {
-            return Gateway.EndReason.NO_TIME_TO_REPEAT;
+            return FailureReason.NO_TIME_TO_REPEAT;
         }
         if (!mayRepeat(r)) {
-            return Gateway.EndReason.NOT_REPEATABLE;
+            return FailureReason.NOT_REPEATABLE;
         }
-        return r.attempts.size() >= set.allowed().attempts() ? Gateway.EndReason.ATTEMPTS_USED : null;
+        return r.attempts.size() >= set.capabilities().maxAttempts() ? FailureReason.ATTEMPTS_USED : null;
     }
 
     /** The final answer of a request that no attempt can answer any more. */
-    private void answer(Req r, Gateway.EndReason reason) {
+    private void answer(Req r, FailureReason reason) {
         if (mayRefuse(r)) {
             // what was short is so for a while: a client that comes back sooner costs calls and finds no more
-            act.refuse(r.told.id(), set.allowed().retryAfter() ? set.allowed().maxRetryAfter() : 0, reason);
+            act.reject(
+                    r.told.id(),
+                    set.capabilities().retryAfter() ? set.capabilities().maxRetryAfter() : 0,
+                    reason);
         } else {
             act.fail(r.told.id(), reason);
         }
@@ -1179,10 +1207,10 @@
                 i < r.attempts.size()
                         && !r.over
                         && !r.streaming
-                        && set.allowed().cancel();
+                        && set.capabilities().cancellation();
                 i++) {
             if (r.attempts.get(i).outcome == null) {
-                act.cancel(r.told.id(), i);
+                act.cancelAttempt(r.told.id(), i);
             }
         }
         r.over = true;
@@ -1209,7 +1237,7 @@
     private double coldBudget(Host h) {
         double rate = coldRate(h);
         h.coldCredit += rate * (now - h.coldAt);
-        double kept = rate * UNUSED_KEPT * set.rules().overloadFor();
+        double kept = rate * UNUSED_KEPT * set.rules().overloadWindow();
         h.coldCredit -= Math.max(0, Math.floor(h.coldCredit - kept));
         h.coldAt = now;
         return h.coldCredit;
@@ -1233,8 +1261,8 @@
     /** The least capacity that a server can have by now, 1 when it is warm. */
     private double warmth(Host h) {
         double age = now - h.coldFrom;
-        double cold = set.rules().coldShare();
-        double warm = set.rules().warmAfter();
+        double cold = set.rules().slowStartInitialShare();
+        double warm = set.rules().slowStartDuration();
         return age >= warm ? 1 : cold + (1 - cold) * Math.max(0, age) / warm;
     }
 
@@ -1245,26 +1273,26 @@
                 .mapToDouble(a -> a.sent)
                 .min();
         return ran.isEmpty()
-                || switch (r.type.told.effect()) {
-                    case SAFE -> true;
-                    case KEYED -> now - ran.getAsDouble() < r.type.told.window() - 2 * set.tick();
-                    case UNSAFE -> false;
+                || switch (r.type.told.idempotency()) {
+                    case IDEMPOTENT -> true;
+                    case IDEMPOTENCY_KEY -> now - ran.getAsDouble() < r.type.told.idempotencyWindow() - 2 * set.tick();
+                    case NON_IDEMPOTENT -> false;
                 };
     }
 
     private boolean inGroup(Req r, Host h) {
-        Gateway.Group group = r.type.told.group();
+        RetryScope group = r.type.told.retryScope();
         return r.attempts.isEmpty()
-                || !r.type.told.staysInGroup()
+                || !r.type.told.retriesStayInScope()
                 || r.attempts.stream()
                         .noneMatch(a -> a.mayHaveRun()
-                                && (group == Gateway.Group.ZONE
+                                && (group == RetryScope.ZONE
                                         ? !a.host.told.zone().equals(h.told.zone())
                                         : a.host.told.cell() != h.told.cell()));
     }
 
     private static boolean mayRefuse(Req r) {
-        return r.type.told.effect() != Gateway.Effect.UNSAFE && !r.type.told.staysInGroup()
+        return r.type.told.idempotency() != Idempotency.NON_IDEMPOTENT && !r.type.told.retriesStayInScope()
                 || r.attempts.stream().noneMatch(Attempt::mayHaveRun);
     }
 
@@ -1292,22 +1320,22 @@
             Req r = t.req;
             switch (t.kind) {
                 case EDGE -> onEdge();
-                case SUBSCRIBE -> act.subscribe();
+                case SUBSCRIBE -> act.subscribeToEndpoints();
                 case EXPIRE -> {
                     if (!r.over && r.attempts.isEmpty()) {
-                        r.customer.shortUntil = now + r.type.told.aim();
-                        answer(r, Gateway.EndReason.HELD_TOO_LONG);
+                        r.customer.shortUntil = now + r.type.told.latencyObjective();
+                        answer(r, FailureReason.HELD_TOO_LONG);
                     }
                 }
                 case LATE -> {
                     double sent = r.attempts.get(r.attempts.size() - 1).sent;
-                    if (r.out > 0 && sent <= now - r.type.told.aim() / 2) {
+                    if (r.out > 0 && sent <= now - r.type.told.latencyObjective() / 2) {
                         pace(true);
                     }
                 }
                 case DEADLINE -> {
                     if (!r.over && !r.streaming) {
-                        answer(r, Gateway.EndReason.DEADLINE);
+                        answer(r, FailureReason.DEADLINE);
                     }
                 }
                 default -> {
--- a/src/main/java/willowyoke/Mode.java
+++ b/src/main/java/quotagateway/policy/admission/DecayingMode.java
@@ -1,20 +1,20 @@
-package willowyoke;
+package quotagateway.policy.admission;
 
 import java.util.Arrays;
 
 /** The most frequent of small numbers, by counts that halve when one has come so often: habits may change. */
-final class Mode {
+public final class DecayingMode {
     private final int[] counts;
     private final int most;
     private int mode;
 
-    Mode(int numbers, int most) {
+    public DecayingMode(int numbers, int most) {
         counts = new int[numbers];
         this.most = most;
     }
 
     /** Counts a number; the most frequent one by now. */
-    int add(int number) {
+    public int add(int number) {
         if (++counts[number] > counts[mode]) {
             mode = number;
         }
--- /dev/null
+++ b/src/main/java/quotagateway/policy/api/EndpointState.java
@@ -0,0 +1,7 @@
+package quotagateway.policy.api;
+
+public enum EndpointState {
+    UP,
+    DRAINING,
+    REMOVED
+}
--- a/src/main/java/willowyoke/Ring.java
+++ b/src/main/java/quotagateway/policy/endpoint/ConsistentHashRing.java
@@ -1,11 +1,11 @@
-package willowyoke;
+package quotagateway.policy.endpoint;
 
 /** Consistent hashing: servers to buckets, one for each node, and nodes to places in a ring of buckets. */
-final class Ring {
+public final class ConsistentHashRing {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private Ring() {}
+    private ConsistentHashRing() {}
 
     /** Jump consistent hash (Lamping and Veach): of one bucket more only that bucket's part moves there. */
     static int bucket(String id, int buckets) {
@@ -27,7 +27,7 @@
      * The place of a node, by a shuffle that is the same everywhere: neighbours by number, as in a rack or a
      * zone, are strangers in the ring. It is made inside out, so that one node more changes two places.
      */
-    static int place(int node, int nodes) {
+    public static int place(int node, int nodes) {
         int[] ring = new int[nodes];
         for (int i = 0; i < nodes; i++) {
             int at = (int) Math.floorMod(mix(i + 1L), i + 1L);
@@ -38,7 +38,7 @@
     }
 
     /** Spreads the bits of a number (the finisher of SplitMix64). */
-    static long mix(long z) {
+    public static long mix(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
         return z ^ (z >>> 31);
--- a/src/main/java/willowyoke/ServerList.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.policy.endpoint;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -7,18 +7,20 @@
 import java.util.Objects;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /**
  * What the lists tell of every server, in some 140 bytes each: of 200,000 a node uses few. A container and no
  * more: servers stand by their bucket of the ring, and are found by id, by bucket and by cell at a cost that
  * does not grow with the list.
  */
-final class ServerList {
+public final class EndpointCatalog {
     /** A server as the list names it, in the smallest form; GONE where it is in the list no more. */
     private static final class Entry {
         final String id;
         final int cell;
-        private Gateway.State state = Gateway.State.GONE;
+        private EndpointState state = EndpointState.REMOVED;
         private String zone;
         private String kind;
         private double startedAt;
@@ -34,11 +36,11 @@
         }
 
         boolean isUp() {
-            return state == Gateway.State.UP;
+            return state == EndpointState.UP;
         }
 
-        Gateway.Server server() {
-            return new Gateway.Server(id, cell, zone, state, kind, startedAt, weight, dial);
+        EndpointDescriptor server() {
+            return new EndpointDescriptor(id, cell, zone, state, kind, startedAt, weight, dial);
         }
     }
 
@@ -62,22 +64,22 @@
     private boolean reading;
     private boolean ended;
 
-    ServerList(int buckets) {
+    public EndpointCatalog(int buckets) {
         this.buckets = buckets;
         table = new Entry[buckets];
     }
 
     /** How many servers the list has, draining ones too. */
-    int size() {
+    public int size() {
         return size;
     }
 
-    int up() {
+    public int up() {
         return up;
     }
 
     /** A list begins that may come in parts; one that was begun and not ended tells of no absence. */
-    void begin() {
+    public void begin() {
         part++;
         reading = true;
     }
@@ -88,7 +90,7 @@
     }
 
     /** The list that was begun has ended: what it did not name has gone. */
-    void end() {
+    public void end() {
         if (reading) {
             for (Entry head : table) {
                 Stream.iterate(head, Objects::nonNull, e -> e.next)
@@ -101,12 +103,12 @@
     }
 
     /** The server of this id as the list has it, or null. */
-    Gateway.Server get(String id) {
+    public EndpointDescriptor get(String id) {
         Entry e = find(id);
         return e == null ? null : e.server();
     }
 
-    boolean isUp(String id) {
+    public boolean isUp(String id) {
         Entry e = find(id);
         return e != null && e.isUp();
     }
@@ -120,7 +122,7 @@
     }
 
     /** Takes a whole list, or changes of one, or a part. */
-    void take(List<Gateway.Server> told, boolean whole) {
+    public void take(List<EndpointDescriptor> told, boolean whole) {
         if (whole) {
             begin();
         }
@@ -130,13 +132,13 @@
         }
     }
 
-    private void put(Gateway.Server s) {
+    private void put(EndpointDescriptor s) {
         Entry e = find(s.id());
-        if (e != null && (s.state() == Gateway.State.GONE || s.cell() != e.cell)) {
+        if (e != null && (s.state() == EndpointState.REMOVED || s.cell() != e.cell)) {
             remove(e);
             e = null;
         }
-        if (s.state() == Gateway.State.GONE) {
+        if (s.state() == EndpointState.REMOVED) {
             return;
         }
         if (e == null) {
@@ -146,13 +148,13 @@
             }
             link(e);
         }
-        up += (s.state() == Gateway.State.UP ? 1 : 0) - (e.isUp() ? 1 : 0);
+        up += (s.state() == EndpointState.UP ? 1 : 0) - (e.isUp() ? 1 : 0);
         e.state = s.state();
         e.zone = word(s.zone());
         e.kind = word(s.kind());
         e.startedAt = s.startedAt();
         e.weight = s.weight();
-        e.dial = s.dial();
+        e.dial = s.address();
         e.named = part;
     }
 
@@ -163,7 +165,7 @@
 
     private void remove(Entry e) {
         up -= e.isUp() ? 1 : 0;
-        e.state = Gateway.State.GONE;
+        e.state = EndpointState.REMOVED;
         int at = line(e.id);
         if (table[at] == e) {
             table[at] = e.next;
@@ -207,7 +209,7 @@
 
     private int line(String id) {
         int lines = table.length / buckets;
-        return Ring.bucket(id, buckets) * lines + (spread(id.hashCode()) & lines - 1);
+        return ConsistentHashRing.bucket(id, buckets) * lines + (spread(id.hashCode()) & lines - 1);
     }
 
     private int cell(int cell) {
@@ -220,7 +222,7 @@
     }
 
     /** The servers of these buckets that are up. */
-    Stream<Gateway.Server> inBuckets(IntStream numbers) {
+    public Stream<EndpointDescriptor> inBuckets(IntStream numbers) {
         int lines = table.length / buckets;
         return numbers.boxed()
                 .flatMap(n -> Arrays.stream(table, n * lines, (n + 1) * lines))
@@ -230,7 +232,7 @@
     }
 
     /** The servers of a cell that are up. */
-    Stream<Gateway.Server> inCell(int number) {
+    public Stream<EndpointDescriptor> inCell(int number) {
         return Stream.iterate(cells[cell(number)], Objects::nonNull, e -> e.nextInCell)
                 .filter(e -> e.cell == number && e.isUp())
                 .map(Entry::server);
--- a/src/main/java/willowyoke/WorkingSet.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointSubset.java
@@ -1,13 +1,14 @@
-package willowyoke;
+package quotagateway.policy.endpoint;
 
 import java.util.stream.IntStream;
+import quotagateway.policy.api.PolicySettings;
 
 /**
  * How much of the list a node uses: so many buckets from its place in the ring on (deterministic subsetting).
  * With n buckets each server has n nodes, a server more or less is a matter of those n, and a restarted node
  * finds its servers again, all with no word exchanged.
  */
-final class WorkingSet {
+public final class EndpointSubset {
     /** A list of no more is used whole: to know all of them is worth more than a look at each costs. */
     static final int SMALL = 256;
     /** One server's loss takes no more than this part of what is out; the others hardly feel it. */
@@ -28,45 +29,45 @@
     private static final int SHRINK = 8;
     private static final double SHRINK_EVERY = 8000;
 
-    private final Gateway.Settings set;
-    private final ServerList list;
+    private final PolicySettings set;
+    private final EndpointCatalog list;
     private final int place;
     /** The buckets in use. One while the length of the list is not known: it stays, however many come. */
-    int covered = 1;
+    public int covered = 1;
 
     private double shrunkAt;
 
-    WorkingSet(Gateway.Settings settings, ServerList list) {
+    public EndpointSubset(PolicySettings settings, EndpointCatalog list) {
         set = settings;
         this.list = list;
-        place = Ring.place(settings.me(), settings.nodes());
+        place = ConsistentHashRing.place(settings.nodeIndex(), settings.nodeCount());
     }
 
-    boolean covers(String server) {
-        return Math.floorMod(Ring.bucket(server, set.nodes()) - place, set.nodes()) < covered;
+    public boolean covers(String server) {
+        return Math.floorMod(ConsistentHashRing.bucket(server, set.nodeCount()) - place, set.nodeCount()) < covered;
     }
 
     /** The buckets from one number of steps behind this node's place to another. */
-    IntStream buckets(int from, int to) {
-        return IntStream.range(from, to).map(step -> (place + step) % set.nodes());
+    public IntStream buckets(int from, int to) {
+        return IntStream.range(from, to).map(step -> (place + step) % set.nodeCount());
     }
 
     /** How many servers a node needs with so many attempts out on average. */
     private double wanted(double out) {
-        double least = Math.max(LEAST, EACH_ATTEMPT * set.allowed().attempts());
-        double most = Math.max(Math.max(least, EACH_OUT * out), NODES * list.up() / set.nodes());
-        return most * (1 + SPREAD * place / set.nodes());
+        double least = Math.max(LEAST, EACH_ATTEMPT * set.capabilities().maxAttempts());
+        double most = Math.max(Math.max(least, EACH_OUT * out), NODES * list.up() / set.nodeCount());
+        return most * (1 + SPREAD * place / set.nodeCount());
     }
 
     /** The buckets that hold so many servers on average. */
     private int holding(double servers) {
         return list.up() <= SMALL
-                ? set.nodes()
-                : (int) Math.min(set.nodes(), Math.ceil(servers * set.nodes() / list.up()));
+                ? set.nodeCount()
+                : (int) Math.min(set.nodeCount(), Math.ceil(servers * set.nodeCount() / list.up()));
     }
 
     /** Follows load and list, with so many servers of use at present: grows at once, shrinks slowly. */
-    void fit(double now, double out, double usable) {
+    public void fit(double now, double out, double usable) {
         double wanted = wanted(out);
         int most = holding(wanted * SLACK);
         if (list.first() || list.size() == 0) {
@@ -79,6 +80,6 @@
             covered = Math.max(most, Math.min(SHRINK * most, covered - 1 - covered / SHRINK));
         }
         double more = usable < wanted * FILLED ? Math.min(2, wanted * FILLED / Math.max(1, usable)) : 1;
-        covered = (int) Math.max(holding(wanted), Math.min(set.nodes(), Math.ceil(covered * more)));
+        covered = (int) Math.max(holding(wanted), Math.min(set.nodeCount(), Math.ceil(covered * more)));
     }
 }
--- a/src/main/java/willowyoke/net/Resp.java
+++ b/src/main/java/quotagateway/resp/Resp.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -26,9 +26,9 @@
 import java.util.List;
 
 /** RESP2 on a channel: the library's codec, held within this protocol's bounds. */
-final class Resp {
+public final class Resp {
     /** A value up to this is gathered whole; the lists of names and values and inline answers are shorter. */
-    static final int VALUE = 64 * 1024;
+    public static final int VALUE = 64 * 1024;
     /** The most that one value holds. */
     static final int LARGEST = 4 << 20;
 
@@ -38,7 +38,7 @@
     private Resp() {}
 
     /** Where a value goes that is too large to be gathered. */
-    interface LargeValue {
+    public interface LargeValue {
         /** Which element of an array may be large. */
         int place();
 
@@ -50,12 +50,12 @@
     }
 
     /** Adds the codec: whole messages in, messages out; the largest array told bounds what is kept of one. */
-    static Raw codec(ChannelPipeline pipeline, int mostElements) {
+    public static Raw codec(ChannelPipeline pipeline, int mostElements) {
         return codec(pipeline, mostElements, null);
     }
 
     /** The same, but one value of an array may be large: an empty one stands for it in the message. */
-    static Raw codec(ChannelPipeline pipeline, int mostElements, LargeValue large) {
+    public static Raw codec(ChannelPipeline pipeline, int mostElements, LargeValue large) {
         Raw raw = new Raw();
         pipeline.addLast(
                 raw,
@@ -68,9 +68,9 @@
     }
 
     /** Counts what comes in before it is decoded, as the decoder hides half a message. */
-    static final class Raw extends ChannelInboundHandlerAdapter {
+    public static final class Raw extends ChannelInboundHandlerAdapter {
         /** Bytes that have come and belong to no whole message yet. */
-        long pending;
+        public long pending;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
@@ -84,7 +84,7 @@
         }
 
         /** A whole message has come; one in another than the shortest form leaves a difference for good. */
-        void whole(RedisMessage message) {
+        public void whole(RedisMessage message) {
             pending -= length(message);
         }
     }
@@ -169,11 +169,11 @@
         }
     }
 
-    static FullBulkStringRedisMessage bulk(ByteBufAllocator alloc, String text) {
+    public static FullBulkStringRedisMessage bulk(ByteBufAllocator alloc, String text) {
         return new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(alloc, text));
     }
 
-    static ArrayRedisMessage command(ByteBufAllocator alloc, String... words) {
+    public static ArrayRedisMessage command(ByteBufAllocator alloc, String... words) {
         List<RedisMessage> parts = new ArrayList<>(words.length);
         for (String word : words) {
             parts.add(bulk(alloc, word));
@@ -182,13 +182,13 @@
     }
 
     /** The text of a bulk string, or null where the message is none. */
-    static String text(RedisMessage message) {
+    public static String text(RedisMessage message) {
         return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()
                 ? bulk.content().toString(StandardCharsets.UTF_8)
                 : null;
     }
 
-    static boolean isValue(RedisMessage message) {
+    public static boolean isValue(RedisMessage message) {
         return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull();
     }
 }
--- a/src/main/java/willowyoke/scale/AgentStandIn.java
+++ b/src/main/java/quotagateway/scale/AgentStandIn.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -34,7 +34,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.IntFunction;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /**
  * Discovery's agent: the whole list, and watches with the changes; lists of any size, whole or torn, indented
@@ -61,7 +62,7 @@
     /** The changes since version 1, in their order; a watch may begin at any of them. */
     private final List<Integer> changed = new ArrayList<>();
 
-    private final Gateway.State[] health;
+    private final EndpointState[] health;
     private final long[] bornMs;
     private byte[] whole;
     private boolean silent;
@@ -75,8 +76,8 @@
         this.form = form;
         random = new SplittableRandom(seed);
         watches = new DefaultChannelGroup(group.next());
-        health = new Gateway.State[servers.size()];
-        java.util.Arrays.fill(health, Gateway.State.UP);
+        health = new EndpointState[servers.size()];
+        java.util.Arrays.fill(health, EndpointState.UP);
         bornMs = new long[servers.size()];
         listener = Loops.listen(
                 group,
@@ -90,7 +91,7 @@
     }
 
     /** Servers change, in one version; told to all watches. */
-    public void change(Set<Integer> which, Gateway.State to, long born) {
+    public void change(Set<Integer> which, EndpointState to, long born) {
         group.execute(() -> {
             for (int server : which) {
                 health[server] = to;
@@ -138,11 +139,11 @@
     }
 
     private String entry(int server) {
-        Gateway.Server s = servers.entry(server, health[server], bornMs[server]);
+        EndpointDescriptor s = servers.entry(server, health[server], bornMs[server]);
         String word = switch (health[server]) {
             case UP -> "active";
             case DRAINING -> "leaving";
-            case GONE -> "left";
+            case REMOVED -> "left";
         };
         return "{\"host\":\"" + s.id() + "\",\"dial\":\"" + dial.apply(server) + "\",\"site\":\"" + s.zone()
                 + "\",\"class\":\"m\",\"block\":" + s.cell() + ",\"health\":\"" + word
@@ -155,7 +156,7 @@
         if (whole == null) {
             List<Integer> all = new ArrayList<>();
             for (int i = 0; i < health.length; i++) {
-                if (health[i] != Gateway.State.GONE) {
+                if (health[i] != EndpointState.REMOVED) {
                     all.add(i);
                 }
             }
--- a/src/main/java/willowyoke/scale/Answers.java
+++ b/src/main/java/quotagateway/scale/Answers.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/willowyoke/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointState;
 
 /** Real nodes under load; servers begin to drain, one after another, and come back. */
 @Command(
@@ -109,10 +109,10 @@
     /** From the agent's word to the last request that the server got after it (us); 0 where none came. */
     private long change(PlaceServers place, AgentStandIn agent, int server) throws InterruptedException {
         long told = System.nanoTime();
-        agent.change(Set.of(server), Gateway.State.DRAINING, 0);
+        agent.change(Set.of(server), EndpointState.DRAINING, 0);
         Thread.sleep(pause);
         long last = place.lastGot.get(server);
-        agent.change(Set.of(server), Gateway.State.UP, 0);
+        agent.change(Set.of(server), EndpointState.UP, 0);
         Thread.sleep(pause);
         return Math.max(0, (last - told) / 1000);
     }
--- a/src/main/java/willowyoke/scale/CpuMeter.java
+++ b/src/main/java/quotagateway/scale/CpuMeter.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/willowyoke/scale/Customers.java
+++ b/src/main/java/quotagateway/scale/Customers.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
--- a/src/main/java/willowyoke/scale/Fleet.java
+++ b/src/main/java/quotagateway/scale/Fleet.java
@@ -1,9 +1,12 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.List;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicySettings;
 
 /**
  * A fleet of hollow nodes on one virtual clock, before hollow servers and one counter. Load is an open loop:
@@ -28,7 +31,7 @@
     final SplittableRandom random;
     private final Customers customers;
     private final Runnable between;
-    private final List<Gateway.Server> whole;
+    private final List<EndpointDescriptor> whole;
     private long arrivals;
     private boolean apart;
     private boolean discoverySilent;
@@ -46,9 +49,9 @@
             hosts[i] = new HollowServer(shape.kind(), clock);
         }
         nodes = new HollowNode[size];
-        Gateway.Settings first = null;
+        PolicySettings first = null;
         for (int i = 0; i < size; i++) {
-            Gateway.Settings settings = Site.settings(first, i, size, shape.zones);
+            PolicySettings settings = Site.settings(first, i, size, shape.zones);
             first = first == null ? settings : first;
             nodes[i] = new HollowNode(settings, clock, this, latency);
         }
@@ -75,7 +78,7 @@
         HollowNode node = nodes[(first + random.nextInt(spread)) % nodes.length];
         arrivals++;
         if (node.up()) { // the front takes it elsewhere in time; meanwhile it is lost with the node
-            node.arrive(new Gateway.Request(
+            node.arrive(new IncomingRequest(
                     arrivals,
                     Site.type(random.nextDouble()),
                     Site.PLAN,
@@ -122,7 +125,7 @@
     // ---- discovery ----
 
     /** A change that each node hears at a time of its own, unless discovery is silent. */
-    void change(List<Gateway.Server> entries) {
+    void change(List<EndpointDescriptor> entries) {
         for (HollowNode node : nodes) {
             double delay = shape.notice[0] + (shape.notice[1] - shape.notice[0]) * random.nextDouble();
             clock.after(delay, () -> {
@@ -143,7 +146,7 @@
     }
 
     /** Killed together, and back with nothing known after a while; the list and its changes are there. */
-    void restart(HollowNode node, double away, List<Gateway.Server> changed) {
+    void restart(HollowNode node, double away, List<EndpointDescriptor> changed) {
         node.kill();
         clock.after(away, () -> {
             node.start(random.nextLong());
@@ -165,19 +168,19 @@
             HollowServer host = hosts[a.server];
             boolean reached = reach(node, servers.zone(a.server));
             if (!reached || host.life == HollowServer.Life.SILENT) {
-                clock.after(CONNECT_TIMEOUT, () -> node.ended(a, Gateway.Outcome.NO_CONNECTION));
+                clock.after(CONNECT_TIMEOUT, () -> node.ended(a, CallOutcome.NO_CONNECTION));
                 return;
             }
-            Gateway.Outcome at = host.life == HollowServer.Life.REFUSES
-                    ? Gateway.Outcome.NO_CONNECTION
-                    : host.take(work, () -> back(node, a, Gateway.Outcome.OK));
+            CallOutcome at = host.life == HollowServer.Life.REFUSES
+                    ? CallOutcome.NO_CONNECTION
+                    : host.take(work, () -> back(node, a, CallOutcome.OK));
             if (at != null) {
                 back(node, a, at);
             }
         });
     }
 
-    private void back(HollowNode node, HollowNode.Attempt a, Gateway.Outcome outcome) {
+    private void back(HollowNode node, HollowNode.Attempt a, CallOutcome outcome) {
         clock.after(WAY / 2, () -> node.ended(a, outcome));
     }
 
--- a/src/main/java/willowyoke/scale/FleetRun.java
+++ b/src/main/java/quotagateway/scale/FleetRun.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.List;
 import picocli.CommandLine.Mixin;
--- a/src/main/java/willowyoke/scale/HollowCounter.java
+++ b/src/main/java/quotagateway/scale/HollowCounter.java
@@ -1,8 +1,8 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.HashMap;
 import java.util.Map;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
 
 /** The counter on the virtual clock: one line of calls, so many a second, and a way there and back. */
 final class HollowCounter {
@@ -30,7 +30,7 @@
         clock.after(free - asked, () -> {
             double total = totals.merge(name, amount, Double::sum);
             if (!isLate) {
-                clock.after(way / 2, () -> from.counted(life, name, Gateway.Outcome.OK, clock.now() - asked, total));
+                clock.after(way / 2, () -> from.counted(life, name, CallOutcome.OK, clock.now() - asked, total));
             }
         });
         if (isLate) {
@@ -42,7 +42,6 @@
     /** A call that is never answered. */
     void silent(HollowNode from, long name) {
         int life = from.life();
-        clock.after(
-                Site.COUNTER_TIMEOUT, () -> from.counted(life, name, Gateway.Outcome.TIMEOUT, Site.COUNTER_TIMEOUT, 0));
+        clock.after(Site.COUNTER_TIMEOUT, () -> from.counted(life, name, CallOutcome.TIMEOUT, Site.COUNTER_TIMEOUT, 0));
     }
 }
--- a/src/main/java/willowyoke/scale/HollowNode.java
+++ b/src/main/java/quotagateway/scale/HollowNode.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -7,11 +7,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import willowyoke.Decide;
-import willowyoke.Gateway;
+import quotagateway.policy.Policy;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
+import quotagateway.policy.api.PolicySettings;
 
 /** An edge node without sockets: the true decision module on a virtual clock, among stand-ins. */
-final class HollowNode implements Gateway.Actions {
+final class HollowNode implements PolicyActions {
     private static final double[] NO_LOAD = new double[0];
 
     /** What a node meets; both call back on the clock, never at once. */
@@ -33,11 +38,11 @@
         boolean over;
         int out;
 
-        Open(Gateway.Request told, double now) {
+        Open(IncomingRequest told, double now) {
             id = told.id();
-            type = told.type();
+            type = told.requestClass();
             arrived = now;
-            deadline = now + told.patience();
+            deadline = now + told.clientTimeout();
         }
     }
 
@@ -62,11 +67,11 @@
     final int rank;
     private final VirtualClock clock;
     private final Peers peers;
-    private final Gateway.Settings settings;
+    private final PolicySettings settings;
     private final Map<Long, Open> open = new HashMap<>();
     private final Histogram latency;
     private final BitSet kept = new BitSet();
-    private Gateway.Events module;
+    private PolicyEvents module;
     private CpuMeter meter;
     /** Events of a process that was killed are dropped by this. */
     private int life;
@@ -77,8 +82,8 @@
     long refused;
     long failed;
 
-    HollowNode(Gateway.Settings settings, VirtualClock clock, Peers peers, Histogram latency) {
-        rank = settings.me();
+    HollowNode(PolicySettings settings, VirtualClock clock, Peers peers, Histogram latency) {
+        rank = settings.nodeIndex();
         this.settings = settings;
         this.clock = clock;
         this.peers = peers;
@@ -90,7 +95,7 @@
         life++;
         open.clear();
         kept.clear();
-        module = new Decide(settings, seed, clock.now(), this);
+        module = new Policy(settings, seed, clock.now(), this);
     }
 
     /** The process ends without a word. */
@@ -117,21 +122,21 @@
 
     // ---- events ----
 
-    void servers(List<Gateway.Server> list, boolean whole) {
-        tell(m -> m.servers(clock.now(), list, whole));
+    void servers(List<EndpointDescriptor> list, boolean whole) {
+        tell(m -> m.onEndpoints(clock.now(), list, whole));
     }
 
-    void arrive(Gateway.Request told) {
+    void arrive(IncomingRequest told) {
         Open o = new Open(told, clock.now());
         open.put(o.id, o);
-        later(told.patience(), () -> timeUp(o));
-        tell(m -> m.arrived(clock.now(), told));
+        later(told.clientTimeout(), () -> timeUp(o));
+        tell(m -> m.onRequest(clock.now(), told));
     }
 
     /** The client waits no longer: what is out has timed out, and the module has the last word. */
     private void timeUp(Open o) {
         for (Attempt a : o.attempts) {
-            ended(a, Gateway.Outcome.TIMEOUT);
+            ended(a, CallOutcome.TIMEOUT);
         }
         if (!o.over) {
             later(settings.rules().answerGrace(), () -> over(o, () -> failed++));
@@ -139,27 +144,27 @@
     }
 
     /** An attempt's outcome; the first good one is the client's. */
-    void ended(Attempt a, Gateway.Outcome outcome) {
+    void ended(Attempt a, CallOutcome outcome) {
         if (a.done || a.life != life) {
             return;
         }
         a.done = true;
         Open o = a.request;
         o.out--;
-        if (outcome == Gateway.Outcome.OK) {
+        if (outcome == CallOutcome.OK) {
             over(o, () -> {
                 served++;
                 latency.recordValue(Math.max(1, Math.round(1000 * (clock.now() - o.arrived))));
             });
         }
         boolean over = o.over;
-        tell(m -> m.ended(clock.now(), o.id, a.number, outcome, clock.now() - a.sent, over, 0, NO_LOAD));
+        tell(m -> m.onAttemptEnded(clock.now(), o.id, a.number, outcome, clock.now() - a.sent, over, 0, NO_LOAD));
         settle(o);
     }
 
-    void counted(int asked, long name, Gateway.Outcome outcome, double took, double total) {
+    void counted(int asked, long name, CallOutcome outcome, double took, double total) {
         if (asked == life) {
-            tell(m -> m.counted(clock.now(), name, outcome, took, total));
+            tell(m -> m.onCounterReply(clock.now(), name, outcome, took, total));
         }
     }
 
@@ -182,7 +187,7 @@
         }
     }
 
-    private void tell(Consumer<Gateway.Events> event) {
+    private void tell(Consumer<PolicyEvents> event) {
         if (module == null) {
             return;
         }
@@ -208,7 +213,7 @@
     // ---- actions ----
 
     @Override
-    public void send(long id, String server, double until) {
+    public void sendAttempt(long id, String server, double until) {
         Open o = open.get(id);
         if (o == null) {
             return;
@@ -217,7 +222,7 @@
         o.attempts.add(a);
         o.out++;
         if (o.over) {
-            later(0, () -> ended(a, Gateway.Outcome.NOT_SENT));
+            later(0, () -> ended(a, CallOutcome.NOT_SENT));
             return;
         }
         sends++;
@@ -225,15 +230,15 @@
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         Open o = open.get(id);
         if (o != null) {
-            later(0, () -> ended(o.attempts.get(attempt), Gateway.Outcome.CANCELLED));
+            later(0, () -> ended(o.attempts.get(attempt), CallOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
+    public void reject(long id, double retryAfter) {
         Open o = open.get(id);
         if (o != null) {
             over(o, () -> refused++);
@@ -249,29 +254,29 @@
     }
 
     @Override
-    public void timer(double delay, long token) {
-        later(delay, () -> tell(m -> m.timer(clock.now(), token)));
+    public void scheduleTimer(double delay, long token) {
+        later(delay, () -> tell(m -> m.onTimer(clock.now(), token)));
     }
 
     @Override
-    public void probe(String server) {}
+    public void checkHealth(String server) {}
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
         calls++;
         peers.count(this, name, amount);
     }
 
     @Override
-    public void subscribe() {}
+    public void subscribeToEndpoints() {}
 
     @Override
-    public void keep(Gateway.Server server) {
+    public void retainEndpoint(EndpointDescriptor server) {
         kept.set(Servers.number(server.id()));
     }
 
     @Override
-    public void release(String server) {
+    public void releaseEndpoint(String server) {
         kept.clear(Servers.number(server));
     }
 }
--- a/src/main/java/willowyoke/scale/HollowServer.java
+++ b/src/main/java/quotagateway/scale/HollowServer.java
@@ -1,7 +1,7 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayDeque;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
 
 /** A place server on the virtual clock: slots, a bounded queue, and a slow start after it was cold. */
 final class HollowServer {
@@ -68,7 +68,7 @@
     }
 
     /** Takes work (ms, as a warm server needs) or turns it away. */
-    Gateway.Outcome take(double work, Runnable done) {
+    CallOutcome take(double work, Runnable done) {
         got++;
         lastGot = clock.now();
         if (sinceCold != null) {
@@ -79,7 +79,7 @@
         } else if (queue.size() < kind.queue) {
             queue.add(new Job(work, done));
         } else {
-            return Gateway.Outcome.FULL;
+            return CallOutcome.FULL;
         }
         return null;
     }
--- a/src/main/java/willowyoke/scale/LoneNodes.java
+++ b/src/main/java/quotagateway/scale/LoneNodes.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.HdrHistogram.Histogram;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicySettings;
 
 /**
  * A fleet too large for one memory, one hollow node after another: each sees the whole list and load of its
@@ -30,8 +33,8 @@
     private final long seed;
     private final int seconds;
     private final Servers servers;
-    private final List<Gateway.Server> whole;
-    private final Gateway.Settings first;
+    private final List<EndpointDescriptor> whole;
+    private final PolicySettings first;
     final AtomicLongArray connections;
     final AtomicLongArray load;
     final long[] kept;
@@ -106,16 +109,14 @@
                 if (measured[0]) {
                     load.incrementAndGet(a.server);
                 }
-                clock.after(
-                        -shape.service * Math.log(1 - random.nextDouble()), () -> node.ended(a, Gateway.Outcome.OK));
+                clock.after(-shape.service * Math.log(1 - random.nextDouble()), () -> node.ended(a, CallOutcome.OK));
             }
 
             @Override
             public void count(HollowNode node, long name, double amount) {
                 double total = totals.merge(name, amount, Double::sum);
                 int life = node.life();
-                clock.after(
-                        shape.counterWay, () -> node.counted(life, name, Gateway.Outcome.OK, shape.counterWay, total));
+                clock.after(shape.counterWay, () -> node.counted(life, name, CallOutcome.OK, shape.counterWay, total));
             }
         };
         HollowNode node = new HollowNode(Site.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
@@ -140,7 +141,7 @@
     private void next(VirtualClock clock, SplittableRandom random, HollowNode node, Customers customers, long[] ids) {
         clock.after(-1000 / shape.rate * Math.log(1 - random.nextDouble()), () -> {
             next(clock, random, node, customers, ids);
-            node.arrive(new Gateway.Request(
+            node.arrive(new IncomingRequest(
                     ++ids[0],
                     Site.type(random.nextDouble()),
                     Site.PLAN,
--- a/src/main/java/willowyoke/scale/Loops.java
+++ b/src/main/java/quotagateway/scale/Loops.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/willowyoke/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,7 +9,9 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.IncomingRequest;
 
 /** The decision module alone: what a request, a change of the list and its state cost. */
 @Command(
@@ -93,7 +95,7 @@
             clock.after(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
                 next();
                 int customer = asking.pick(random);
-                node.arrive(new Gateway.Request(
+                node.arrive(new IncomingRequest(
                         ++requests,
                         Site.type(random.nextDouble()),
                         Site.PLAN,
@@ -116,14 +118,14 @@
 
         @Override
         public void attempt(HollowNode from, HollowNode.Attempt a) {
-            clock.after(-service * Math.log(1 - random.nextDouble()), () -> from.ended(a, Gateway.Outcome.OK));
+            clock.after(-service * Math.log(1 - random.nextDouble()), () -> from.ended(a, CallOutcome.OK));
         }
 
         @Override
         public void count(HollowNode from, long name, double amount) {
             double total = totals.merge(name, amount, Double::sum);
             int life = from.life();
-            clock.after(1, () -> from.counted(life, name, Gateway.Outcome.OK, 1, total));
+            clock.after(1, () -> from.counted(life, name, CallOutcome.OK, 1, total));
         }
     }
 
@@ -175,7 +177,7 @@
         load.meter.take();
         for (int i = 0; i < CHANGES; i++) {
             int server = load.random.nextInt(servers.size());
-            for (Gateway.State state : List.of(Gateway.State.DRAINING, Gateway.State.UP)) {
+            for (EndpointState state : List.of(EndpointState.DRAINING, EndpointState.UP)) {
                 load.node.servers(List.of(servers.entry(server, state, 0)), false);
             }
             inTimeNow();
@@ -214,7 +216,7 @@
         load.node.servers(new Servers(size, zones).whole(), true);
         for (int i = 0; i < many; i++) { // all of them within the time that idle ones are kept
             load.clock.to(load.clock.now() + 10_000.0 / many, this::inTime);
-            load.node.arrive(new Gateway.Request(
+            load.node.arrive(new IncomingRequest(
                     i,
                     Site.READ,
                     Site.PLAN,
--- a/src/main/java/willowyoke/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.channel.EventLoopGroup;
 import java.nio.file.Path;
@@ -10,7 +10,7 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointState;
 
 /** One real node, as the deploy file runs it, among stand-ins on loopback. */
 @Command(
@@ -208,7 +208,7 @@
                     boolean back = last[0] >= 0;
                     int server = back ? last[0] : random.nextInt(all.size());
                     last[0] = back ? -1 : server;
-                    agent.change(Set.of(server), back ? Gateway.State.UP : Gateway.State.DRAINING, 0);
+                    agent.change(Set.of(server), back ? EndpointState.UP : EndpointState.DRAINING, 0);
                 },
                 0,
                 1_000_000_000L / perSecond,
--- a/src/main/java/willowyoke/scale/NodeLaunch.java
+++ b/src/main/java/quotagateway/scale/NodeLaunch.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/willowyoke/scale/PlaceServers.java
+++ b/src/main/java/quotagateway/scale/PlaceServers.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
--- a/src/main/java/willowyoke/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -1,10 +1,11 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /** Servers are replaced and come back cold: what they get of all nodes while they warm up. */
 @Command(
@@ -35,13 +36,13 @@
     void point(int size) {
         Fleet fleet = started(size, SETTLED);
         long[] before = new long[fleet.hosts.length];
-        List<Gateway.Server> entries = new ArrayList<>();
+        List<EndpointDescriptor> entries = new ArrayList<>();
         int cold = (int) Math.max(1, part * fleet.hosts.length);
         double began = fleet.clock.now();
         for (int i = 0; i < cold; i++) {
             int server = (int) ((long) i * fleet.hosts.length / cold);
             fleet.hosts[server].restart();
-            entries.add(fleet.servers.entry(server, Gateway.State.UP, began));
+            entries.add(fleet.servers.entry(server, EndpointState.UP, began));
         }
         for (int i = 0; i < before.length; i++) {
             before[i] = fleet.hosts[i].got;
