--- a/src/main/java/willowyoke/scale/RealNode.java
+++ b/src/main/java/quotagateway/scale/RealNode.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.net.ConnectException;
@@ -53,7 +53,7 @@
         NodeLaunch.Addresses at =
                 new NodeLaunch.Addresses("127.0.0.1:" + port, "127.0.0.1:" + agent, "127.0.0.1:" + counter);
         List<String> command = NodeLaunch.command(root);
-        Path folder = Files.createTempDirectory("willowyoke-scale");
+        Path folder = Files.createTempDirectory("quota-gateway-scale");
         String name = "n" + settings.get("rank");
         Path config = folder.resolve("config.json");
         Files.writeString(config, NodeLaunch.configuration(name, at, seed, known, settings));
--- a/src/main/java/willowyoke/scale/Refused.java
+++ b/src/main/java/quotagateway/scale/Refused.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 /** What the caller or the machine does not allow: told in one line, with exit code 2. */
 public class Refused extends RuntimeException {
--- a/src/main/java/willowyoke/scale/Results.java
+++ b/src/main/java/quotagateway/scale/Results.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/willowyoke/scale/ScaleCli.java
+++ b/src/main/java/quotagateway/scale/ScaleCli.java
@@ -1,14 +1,14 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.util.List;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import willowyoke.scale.soak.SoakCommand;
+import quotagateway.scale.soak.SoakCommand;
 
 /** The command line of the scale run: experiments on the node and its module at the size of a large fleet. */
 @Command(
-        name = "willowyoke-scale",
+        name = "quota-gateway-scale",
         mixinStandardHelpOptions = true,
         version = "0.1.0",
         description = "Measures the edge node and its decisions against the size of the fleet, on loopback.",
--- a/src/main/java/willowyoke/scale/Servers.java
+++ b/src/main/java/quotagateway/scale/Servers.java
@@ -1,8 +1,9 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /** The place servers of a run, by number: names, zones and cells are made once and shared by all nodes. */
 public final class Servers {
@@ -51,15 +52,15 @@
     }
 
     /** The entry of a list; startedAt is 0 where the server started long ago. */
-    public Gateway.Server entry(int server, Gateway.State state, double startedAt) {
-        return new Gateway.Server(names[server], cell(server), zones[zone(server)], state, "", startedAt, 1, 0);
+    public EndpointDescriptor entry(int server, EndpointState state, double startedAt) {
+        return new EndpointDescriptor(names[server], cell(server), zones[zone(server)], state, "", startedAt, 1, 0);
     }
 
     /** Every server, up since long ago. */
-    public List<Gateway.Server> whole() {
-        List<Gateway.Server> list = new ArrayList<>(names.length);
+    public List<EndpointDescriptor> whole() {
+        List<EndpointDescriptor> list = new ArrayList<>(names.length);
         for (int i = 0; i < names.length; i++) {
-            list.add(entry(i, Gateway.State.UP, 0));
+            list.add(entry(i, EndpointState.UP, 0));
         }
         return list;
     }
--- a/src/main/java/willowyoke/scale/Shape.java
+++ b/src/main/java/quotagateway/scale/Shape.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import picocli.CommandLine.Option;
 
--- a/src/main/java/willowyoke/scale/Site.java
+++ b/src/main/java/quotagateway/scale/Site.java
@@ -1,9 +1,9 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import willowyoke.Gateway;
-import willowyoke.SettingsReader;
+import quotagateway.config.SettingsReader;
+import quotagateway.policy.api.PolicySettings;
 
 /** The settings of a run: of no deployment, with each effect, a plan with a quota, and the counter. */
 public final class Site {
@@ -80,23 +80,23 @@
     }
 
     /** The settings of one node; what is the same for all nodes is shared with the first one's. */
-    static Gateway.Settings settings(Gateway.Settings first, int rank, int nodes, int zones) {
+    static PolicySettings settings(PolicySettings first, int rank, int nodes, int zones) {
         if (first == null) {
             return SettingsReader.read(keys(rank, nodes, zones));
         }
-        return new Gateway.Settings(
+        return new PolicySettings(
                 rank,
                 nodes,
                 Servers.zoneName(rank % zones),
                 first.tick(),
-                first.mustAsk(),
-                first.settled(),
-                first.mostUnits(),
+                first.mustSubscribe(),
+                first.reportsActualUnits(),
+                first.maxUnits(),
                 first.loadFields(),
-                first.classes(),
+                first.requestClasses(),
                 first.plans(),
-                first.allowed(),
+                first.capabilities(),
                 first.rules(),
-                first.prices());
+                first.costs());
     }
 }
--- a/src/main/java/willowyoke/scale/Spread.java
+++ b/src/main/java/quotagateway/scale/Spread.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 /** How evenly something lies over servers: mean, the most that one has, and the standard deviation. */
 record Spread(double mean, double least, double most, double deviation) {
--- a/src/main/java/willowyoke/scale/VirtualClock.java
+++ b/src/main/java/quotagateway/scale/VirtualClock.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/main/java/willowyoke/scale/ZoneLossExperiment.java
+++ b/src/main/java/quotagateway/scale/ZoneLossExperiment.java
@@ -1,10 +1,11 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /** All servers of a zone vanish, and later come back cold: how long the fleet takes each time. */
 @Command(
@@ -43,21 +44,21 @@
         long zoneBefore = zoneGot(fleet);
         run(fleet, 4 * WINDOW);
         double zoneUsual = (zoneGot(fleet) - zoneBefore) / 4.0;
-        List<Gateway.Server> gone = new ArrayList<>();
+        List<EndpointDescriptor> gone = new ArrayList<>();
         for (int i = 0; i < fleet.hosts.length; i++) {
             if (fleet.servers.zone(i) == 0) {
                 fleet.hosts[i].end(HollowServer.Life.SILENT);
-                gone.add(fleet.servers.entry(i, Gateway.State.GONE, 0));
+                gone.add(fleet.servers.entry(i, EndpointState.REMOVED, 0));
             }
         }
         fleet.change(gone);
         watch(fleet, size, "loss", usual);
         results.add("zone.kept_after_loss_least", "nodes", size, leastKept(fleet), "servers");
-        List<Gateway.Server> back = new ArrayList<>();
-        for (Gateway.Server s : gone) {
+        List<EndpointDescriptor> back = new ArrayList<>();
+        for (EndpointDescriptor s : gone) {
             int server = Servers.number(s.id());
             fleet.hosts[server].restart();
-            back.add(fleet.servers.entry(server, Gateway.State.UP, fleet.clock.now()));
+            back.add(fleet.servers.entry(server, EndpointState.UP, fleet.clock.now()));
         }
         fleet.change(back);
         long got = zoneGot(fleet);
--- a/src/main/java/willowyoke/scale/capacity/BadInput.java
+++ b/src/main/java/quotagateway/scale/capacity/BadInput.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 /** A file or an argument that cannot be used: one line, with the place. */
 final class BadInput extends RuntimeException {
--- a/src/main/java/willowyoke/scale/capacity/CapacityTables.java
+++ b/src/main/java/quotagateway/scale/capacity/CapacityTables.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/main/java/willowyoke/scale/capacity/Doc.java
+++ b/src/main/java/quotagateway/scale/capacity/Doc.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/willowyoke/scale/capacity/Model.java
+++ b/src/main/java/quotagateway/scale/capacity/Model.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import willowyoke.scale.capacity.Measurements.Series;
 
 /**
  * The sizes, budgets, assumptions and rows of the page, read from its file and reckoned with what has been
@@ -237,7 +236,7 @@
         String inside = word.substring(word.indexOf('[') + 1, word.length() - 1);
         boolean atPoint = inside.contains("@");
         String[] x = inside.split("[=@]", 2);
-        Series found = measurements.find(metric, x[0]);
+        Measurements.Series found = measurements.find(metric, x[0]);
         Figure size = x.length == 1
                 ? Figure.of(0)
                 : !atPoint || !x[1].equals(LARGEST)
@@ -270,12 +269,12 @@
     }
 
     /** A run's unit in bytes or seconds. */
-    static double scale(Series series) {
+    static double scale(Measurements.Series series) {
         return UNITS.getOrDefault(series.unit().split("/")[0], 1.0);
     }
 
     /** A size that no run has seen is told as such. */
-    private static String range(Series found, double size) {
+    private static String range(Measurements.Series found, double size) {
         return size > found.largest()
                 ? ", **beyond** its largest, " + Figure.number(found.largest())
                 : size < found.smallest() ? ", **below** its smallest, " + Figure.number(found.smallest()) : "";
--- a/src/main/java/willowyoke/scale/capacity/Tables.java
+++ b/src/main/java/quotagateway/scale/capacity/Tables.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -8,12 +8,6 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import willowyoke.scale.capacity.Measurements.Check;
-import willowyoke.scale.capacity.Measurements.Series;
-import willowyoke.scale.capacity.Model.CrossCheck;
-import willowyoke.scale.capacity.Model.Mechanism;
-import willowyoke.scale.capacity.Model.Quantity;
-import willowyoke.scale.capacity.Model.Row;
 
 /** The page's tables as Markdown, each under its name. */
 final class Tables {
@@ -61,7 +55,7 @@
         return table.toString();
     }
 
-    private static String verdict(Row r) {
+    private static String verdict(Model.Row r) {
         double ratio = r.ratio();
         if (r.budget() == null) {
             return NONE;
@@ -81,7 +75,7 @@
     }
 
     /** The assumptions behind a figure and its budget. */
-    private static String assumed(Row r) {
+    private static String assumed(Model.Row r) {
         return Stream.of(r.figure(), r.budget())
                 .flatMap(f -> f.restsOn().stream())
                 .filter(g -> g.startsWith(ASSUMED))
@@ -94,8 +88,8 @@
     private String over() {
         StringBuilder table = head("over", "role", "when", "what", "figure", "budget", "assuming", "carried by");
         model.rows().stream()
-                .filter(Row::over)
-                .sorted(Comparator.comparingDouble(Row::ratio).reversed())
+                .filter(Model.Row::over)
+                .sorted(Comparator.comparingDouble(Model.Row::ratio).reversed())
                 .forEach(r -> line(
                         table,
                         Figure.number(r.ratio()) + " x",
@@ -109,11 +103,11 @@
         return table.toString();
     }
 
-    private String mechanisms(Predicate<Mechanism> which) {
+    private String mechanisms(Predicate<Model.Mechanism> which) {
         int[] place = {0};
         StringBuilder table = head("", "mechanism", "state", "what it is", "rows", "over", "not measured");
         model.mechanisms().values().stream().filter(which).forEach(m -> {
-            List<Row> rows =
+            List<Model.Row> rows =
                     model.rows().stream().filter(r -> r.mechanism() == m).toList();
             line(
                     table,
@@ -122,7 +116,7 @@
                     m.state(),
                     m.text(),
                     Integer.toString(rows.size()),
-                    Long.toString(rows.stream().filter(Row::over).count()),
+                    Long.toString(rows.stream().filter(Model.Row::over).count()),
                     Long.toString(
                             rows.stream().filter(r -> !r.figure().measured()).count()));
         });
@@ -132,13 +126,13 @@
     private String crossChecks() {
         StringBuilder table =
                 head("figure", "size left out", "foretold", "measured there", "deviation", "foretold by", "run");
-        for (CrossCheck c : model.checks()) {
-            Series series = model.measurements().find(c.metric(), c.x());
-            Check check = series == null
+        for (Model.CrossCheck c : model.checks()) {
+            Measurements.Series series = model.measurements().find(c.metric(), c.x());
+            Measurements.Check check = series == null
                     ? null
                     : c.formula() == null
                             ? Measurements.leaveLargestOut(series)
-                            : new Check(
+                            : new Measurements.Check(
                                     series, c.at(), c.foretold().value() / Model.scale(series), series.pointAt(c.at()));
             String by = c.formula() == null ? "the smaller sizes" : "`" + c.formula() + "`";
             if (check == null || Double.isNaN(check.deviation())) {
@@ -171,12 +165,12 @@
     private String compared() {
         StringBuilder table = head("metric", "at", "by run, the earliest first", "last over first");
         boolean none = true;
-        Map<String, List<Series>> same = model.measurements().used().stream()
+        Map<String, List<Measurements.Series>> same = model.measurements().used().stream()
                 .collect(Collectors.groupingBy(
                         s -> s.metric() + " " + s.x() + " " + s.unit(), LinkedHashMap::new, Collectors.toList()));
-        for (List<Series> runs : same.values()) {
-            Series first = runs.get(0);
-            Series last = runs.get(runs.size() - 1);
+        for (List<Measurements.Series> runs : same.values()) {
+            Measurements.Series first = runs.get(0);
+            Measurements.Series last = runs.get(runs.size() - 1);
             OptionalDouble at = first.points().stream()
                     .mapToDouble(p -> p[0])
                     .filter(x -> runs.stream().noneMatch(s -> Double.isNaN(s.pointAt(x))))
@@ -197,7 +191,7 @@
         return none ? "None yet.\n" : table.toString();
     }
 
-    private String label(Series series) {
+    private String label(Measurements.Series series) {
         return model.measurements().label(series);
     }
 
@@ -210,14 +204,14 @@
         return runs.isEmpty() ? "No run has been taken in yet.\n" : table.toString();
     }
 
-    private static String amount(double value, Series series) {
+    private static String amount(double value, Measurements.Series series) {
         return (Figure.number(value) + " " + series.unit()).trim();
     }
 
     private String measurements() {
         StringBuilder table =
                 head("metric", "over", "points", "from", "to", "slope", "intercept", "residual", "unit", "run");
-        for (Series s : model.measurements().used()) {
+        for (Measurements.Series s : model.measurements().used()) {
             String[] fit = s.fit() == null
                     ? new String[] {NONE, NONE, NONE}
                     : new String[] {
@@ -244,7 +238,7 @@
         StringBuilder table = derived
                 ? head("name", "value", "reckoned as", "rests on", "what it is")
                 : head("name", "value", "what it is");
-        for (Quantity q : model.quantities().values()) {
+        for (Model.Quantity q : model.quantities().values()) {
             if (q.kind().equals(kind) && derived) {
                 line(table, q.name(), q.figure().text(q.unit()), "`" + q.formula() + "`", rests(q.figure()), q.text());
             } else if (q.kind().equals(kind)) {
--- a/src/main/java/willowyoke/scale/soak/ClientFleet.java
+++ b/src/main/java/quotagateway/scale/soak/ClientFleet.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -16,9 +16,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import willowyoke.Gateway;
-import willowyoke.scale.Loops;
-import willowyoke.scale.Site;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.scale.Loops;
+import quotagateway.scale.Site;
 
 /**
  * Clients of all nodes on one loop: an open load, on connections that they keep. Some write slowly, send many
@@ -146,7 +147,7 @@
                 });
     }
 
-    private double patience(Gateway.RequestClass type) {
+    private double patience(RequestClass type) {
         double chance = random.nextDouble();
         if (chance < 0.7) {
             return type.deadline();
@@ -169,11 +170,12 @@
     private String command(ClientRequest request) {
         int spread = 1 + random.nextInt(Math.min(settings.nodes(), Site.SPREAD));
         int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
-        boolean safe = request.type.effect() == Gateway.Effect.SAFE;
+        boolean safe = request.type.idempotency() == Idempotency.IDEMPOTENT;
         String list = "c=" + request.type.name() + ",t="
                 + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : Site.PLAN) + ",d="
                 + (long) request.patience
-                + (request.type.effect() == Gateway.Effect.KEYED ? ",k=" + request.id : "") + ",units=1,spread="
+                + (request.type.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
+                + ",units=1,spread="
                 + spread + ",first=" + first;
         int set = first * Site.SPREAD + spread - 1; // a customer has the same set of nodes at any time
         String customer = String.format("%016x", set * CUSTOMERS + random.nextInt(CUSTOMERS));
--- a/src/main/java/willowyoke/scale/soak/ClientRequest.java
+++ b/src/main/java/quotagateway/scale/soak/ClientRequest.java
@@ -1,6 +1,6 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
-import willowyoke.Gateway;
+import quotagateway.policy.api.RequestClass;
 
 /** One request as its client saw it; times are milliseconds of the run, infinite until they come. */
 final class ClientRequest {
@@ -28,7 +28,7 @@
     /** Which of the node's processes had been started last when it was sent. */
     final int process;
 
-    final Gateway.RequestClass type;
+    final RequestClass type;
     final double patience;
     /** When its last byte was written. */
     double sent = Double.POSITIVE_INFINITY;
@@ -41,7 +41,7 @@
     /** What it was told, where it was not served. */
     String told = "";
 
-    ClientRequest(String id, int node, int process, Gateway.RequestClass type, double patience) {
+    ClientRequest(String id, int node, int process, RequestClass type, double patience) {
         this.id = id;
         this.node = node;
         this.process = process;
@@ -62,6 +62,6 @@
     public String toString() {
         return String.format(
                 "id %s %s (%s) to n%d sent %.0f waits %.0f, %s at %.0f %s",
-                id, type.name(), type.effect(), node, sent, patience, end, ended, told);
+                id, type.name(), type.idempotency(), node, sent, patience, end, ended, told);
     }
 }
--- a/src/main/java/willowyoke/scale/soak/Execution.java
+++ b/src/main/java/quotagateway/scale/soak/Execution.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 /** One attempt as a place server saw it; times are milliseconds of the run. */
 final class Execution {
--- a/src/main/java/willowyoke/scale/soak/FaultInjector.java
+++ b/src/main/java/quotagateway/scale/soak/FaultInjector.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import willowyoke.Gateway;
-import willowyoke.scale.AgentStandIn;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.scale.AgentStandIn;
 
 /** Carries a plan of faults out, each on a thread of its own, so that they overlap as they were drawn. */
 final class FaultInjector {
@@ -146,12 +146,12 @@
             draining.addAll(mine);
         }
         double from = scene.clock.now();
-        scene.agent.change(mine, Gateway.State.DRAINING, 0);
+        scene.agent.change(mine, EndpointState.DRAINING, 0);
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 500));
-        scene.agent.change(mine, Gateway.State.GONE, 0);
+        scene.agent.change(mine, EndpointState.REMOVED, 0);
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 500));
         double until = scene.clock.now();
-        scene.agent.change(mine, Gateway.State.UP, System.currentTimeMillis());
+        scene.agent.change(mine, EndpointState.UP, System.currentTimeMillis());
         mine.forEach(server -> news.add(new ServerNews(server, from, until)));
         synchronized (draining) {
             draining.removeAll(mine);
--- a/src/main/java/willowyoke/scale/soak/FaultPlan.java
+++ b/src/main/java/quotagateway/scale/soak/FaultPlan.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/willowyoke/scale/soak/FaultProxy.java
+++ b/src/main/java/quotagateway/scale/soak/FaultProxy.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/willowyoke/scale/soak/FaultyServers.java
+++ b/src/main/java/quotagateway/scale/soak/FaultyServers.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import willowyoke.scale.Answers;
-import willowyoke.scale.Loops;
+import quotagateway.scale.Answers;
+import quotagateway.scale.Loops;
 
 /**
  * Place servers that misbehave on demand, and keep a record of each attempt. Each has an address of 127/8 of
--- a/src/main/java/willowyoke/scale/soak/LagMeter.java
+++ b/src/main/java/quotagateway/scale/soak/LagMeter.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import io.netty.channel.EventLoopGroup;
 import java.util.List;
--- a/src/main/java/willowyoke/scale/soak/NodeSlot.java
+++ b/src/main/java/quotagateway/scale/soak/NodeSlot.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.ReentrantLock;
-import willowyoke.scale.NodeLaunch;
+import quotagateway.scale.NodeLaunch;
 
 /**
  * The place of one edge node: its address and folder, and the processes that take it in turn. Restarts,
--- a/src/main/java/willowyoke/scale/soak/Oracle.java
+++ b/src/main/java/quotagateway/scale/soak/Oracle.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,8 +6,9 @@
 import java.util.Map;
 import java.util.function.DoubleUnaryOperator;
 import java.util.function.Function;
-import willowyoke.Gateway;
-import willowyoke.scale.Servers;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.scale.Servers;
 
 /**
  * Holds what clients and place servers saw against the protocol page's rules. It knows the faults of the run,
@@ -128,27 +129,27 @@
             }
         }
         List<Execution> ran = attempts.stream().filter(a -> a.ran).toList();
-        if (ran.size() < 2 || r.type.effect() == Gateway.Effect.SAFE) {
+        if (ran.size() < 2 || r.type.idempotency() == Idempotency.IDEMPOTENT) {
             return;
         }
-        if (r.type.effect() == Gateway.Effect.UNSAFE) {
+        if (r.type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             broken("duplicate, unsafe", r, attempts);
             return;
         }
         Execution first = ran.get(0);
         for (Execution a : ran.subList(1, ran.size())) {
-            if (a.began > first.began + r.type.window() + slack(a.began)) {
+            if (a.began > first.began + r.type.idempotencyWindow() + slack(a.began)) {
                 broken("duplicate, behind the window", r, attempts);
                 return;
             }
-            if (!sameGroup(r.type.group(), first.server, a.server)) {
+            if (!sameGroup(r.type.retryScope(), first.server, a.server)) {
                 broken("duplicate, in another group", r, attempts);
                 return;
             }
         }
     }
 
-    private boolean sameGroup(Gateway.Group group, int one, int other) {
+    private boolean sameGroup(RetryScope group, int one, int other) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> servers.zone(one) == servers.zone(other);
--- a/src/main/java/willowyoke/scale/soak/ProcessLife.java
+++ b/src/main/java/quotagateway/scale/soak/ProcessLife.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 /** The life of one process of a node; times are milliseconds of the run, infinite until they come. */
 final class ProcessLife {
--- a/src/main/java/willowyoke/scale/soak/RunClock.java
+++ b/src/main/java/quotagateway/scale/soak/RunClock.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 /** Milliseconds since the run began, on the monotonic clock. */
 final class RunClock {
--- a/src/main/java/willowyoke/scale/soak/SoakCommand.java
+++ b/src/main/java/quotagateway/scale/soak/SoakCommand.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -6,8 +6,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import willowyoke.scale.NodeLaunch;
-import willowyoke.scale.Refused;
+import quotagateway.scale.NodeLaunch;
+import quotagateway.scale.Refused;
 
 /** The fault soak on the command line: a run for each seed, and exit code 1 where a rule was broken. */
 @Command(
@@ -82,7 +82,7 @@
     private boolean run(long next) throws Exception {
         int size = nodes > 0 ? nodes : NODES_LEAST + new SplittableRandom(next).nextInt(NODES_MOST - NODES_LEAST + 1);
         Path folder = keep == null
-                ? Files.createTempDirectory("willowyoke-soak")
+                ? Files.createTempDirectory("quota-gateway-soak")
                 : Files.createDirectories(keep.resolve("seed-" + next));
         try {
             SoakRun.Report report =
--- a/src/main/java/willowyoke/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
@@ -20,11 +20,11 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import willowyoke.scale.AgentStandIn;
-import willowyoke.scale.CounterStandIn;
-import willowyoke.scale.Loops;
-import willowyoke.scale.Servers;
-import willowyoke.scale.Site;
+import quotagateway.scale.AgentStandIn;
+import quotagateway.scale.CounterStandIn;
+import quotagateway.scale.Loops;
+import quotagateway.scale.Servers;
+import quotagateway.scale.Site;
 
 /** One run of the soak: real processes, clients, faults that overlap, and the oracle's verdict. */
 final class SoakRun {
--- a/src/main/java/willowyoke/scale/soak/SoakSettings.java
+++ b/src/main/java/quotagateway/scale/soak/SoakSettings.java
@@ -1,12 +1,12 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import willowyoke.Gateway;
-import willowyoke.SettingsReader;
-import willowyoke.scale.Site;
+import quotagateway.config.SettingsReader;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.scale.Site;
 
 /**
  * A deployment drawn from a seed: deadlines from half a second to four, windows shorter and longer than they
@@ -25,7 +25,7 @@
     private final String group;
     private final int[] deadlines = new int[3];
     private final int window;
-    private final List<Gateway.RequestClass> classes;
+    private final List<RequestClass> classes;
 
     SoakSettings(int nodes, SplittableRandom random) {
         this.nodes = nodes;
@@ -35,7 +35,7 @@
             deadlines[i] = SHORTEST + random.nextInt((brief ? LONGEST / 3 : LONGEST) - SHORTEST);
         }
         window = SHORTEST / 2 + random.nextInt(2 * LONGEST);
-        classes = SettingsReader.read(keys(0)).classes();
+        classes = SettingsReader.read(keys(0)).requestClasses();
     }
 
     int nodes() {
@@ -66,7 +66,7 @@
     }
 
     /** The classes, as a node reads them. */
-    List<Gateway.RequestClass> classes() {
+    List<RequestClass> classes() {
         return classes;
     }
 
--- a/src/main/java/willowyoke/scale/soak/Violation.java
+++ b/src/main/java/quotagateway/scale/soak/Violation.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 /** A broken rule, with what shows it. */
 record Violation(String rule, String what) {
--- /dev/null
+++ b/src/main/java/quotagateway/simulator/MalformedInputException.java
@@ -0,0 +1,10 @@
+package quotagateway.simulator;
+
+/** A line of input that cannot be understood; the message names line and field. */
+public final class MalformedInputException extends RuntimeException {
+    private static final long serialVersionUID = 1L;
+
+    MalformedInputException(String message) {
+        super(message);
+    }
+}
--- a/src/main/java/willowyoke/Wire.java
+++ b/src/main/java/quotagateway/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,41 +9,43 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import quotagateway.config.InvalidSettingException;
+import quotagateway.config.SettingsReader;
+import quotagateway.policy.Policy;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
+import quotagateway.policy.api.PolicySettings;
 
 /** The text wire: parses batches into events, prints actions, hosts many instances. It decides nothing. */
-final class Wire {
-    /** A line of input that cannot be understood; the message names line and field. */
-    static final class Malformed extends RuntimeException {
-        private static final long serialVersionUID = 1L;
+public final class SimulatorHost {
 
-        Malformed(String message) {
-            super(message);
-        }
-    }
-
-    private static final Map<String, Gateway.Outcome> OUTCOMES = Map.of(
+    private static final Map<String, CallOutcome> OUTCOMES = Map.of(
             "S",
-            Gateway.Outcome.OK,
+            CallOutcome.OK,
             "E",
-            Gateway.Outcome.ERROR,
+            CallOutcome.ERROR,
             "F",
-            Gateway.Outcome.FULL,
+            CallOutcome.FULL,
             "T",
-            Gateway.Outcome.TIMEOUT,
+            CallOutcome.TIMEOUT,
             "C",
-            Gateway.Outcome.NO_CONNECTION,
+            CallOutcome.NO_CONNECTION,
             "R",
-            Gateway.Outcome.RESET,
+            CallOutcome.RESET,
             "X",
-            Gateway.Outcome.CANCELLED,
+            CallOutcome.CANCELLED,
             "N",
-            Gateway.Outcome.NOT_SENT);
+            CallOutcome.NOT_SENT);
     private static final double[] NO_LOAD = new double[0];
 
     /** One instance with its reply in the making. */
-    private static final class Host implements Gateway.Actions {
+    private static final class Host implements PolicyActions {
         private final StringBuilder out = new StringBuilder();
-        private Gateway.Events events;
+        private PolicyEvents events;
 
         /** A number to the microsecond, never in exponent form. */
         private static String plain(double value) {
@@ -55,7 +57,7 @@
         }
 
         @Override
-        public void send(long id, String server, double until) {
+        public void sendAttempt(long id, String server, double until) {
             word("PLACE\t")
                     .append(id)
                     .append('\t')
@@ -66,12 +68,12 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             word("DROP_ATTEMPT\t").append(id).append('\t').append(attempt).append('\n');
         }
 
         @Override
-        public void refuse(long id, double retryAfter) {
+        public void reject(long id, double retryAfter) {
             word("PUSH_BACK\t")
                     .append(id)
                     .append('\t')
@@ -85,17 +87,17 @@
         }
 
         @Override
-        public void timer(double delay, long token) {
+        public void scheduleTimer(double delay, long token) {
             word("WAKE_AT\t").append(plain(delay)).append('\t').append(token).append('\n');
         }
 
         @Override
-        public void probe(String server) {
+        public void checkHealth(String server) {
             word("ASK_LOAD\t").append(server).append('\n');
         }
 
         @Override
-        public void count(long name, double amount, double keepFor) {
+        public void addToCounter(long name, double amount, double keepFor) {
             word("ADD_TO\t")
                     .append(plain(amount))
                     .append('\t')
@@ -106,7 +108,7 @@
         }
 
         @Override
-        public void subscribe() {
+        public void subscribeToEndpoints() {
             word("WATCH\t1\n");
         }
     }
@@ -119,7 +121,7 @@
     private Integer current;
 
     /** Reads batches until the input ends. */
-    void run(BufferedReader input, PrintStream out) throws IOException {
+    public void run(BufferedReader input, PrintStream out) throws IOException {
         in = input;
         for (String line = next(); line != null; line = next()) {
             if (line.isEmpty()) {
@@ -167,7 +169,7 @@
     private void event(Host host) throws IOException {
         if (part[0].equals("UP")) {
             host.out.setLength(0);
-            host.events = new Decide(settings(), whole(1, "entropy"), now, host);
+            host.events = new Policy(settings(), whole(1, "entropy"), now, host);
             return;
         }
         if (part[0].equals("DESTROY")) {
@@ -178,13 +180,13 @@
         if (host.events == null) {
             throw bad("instance", "instance " + current + " has not been started");
         }
-        Gateway.Events to = host.events;
+        PolicyEvents to = host.events;
         switch (part[0]) {
             case "MEMBERSHIP" -> list(to);
             case "ARRIVAL" ->
-                to.arrived(
+                to.onRequest(
                         now,
-                        new Gateway.Request(
+                        new IncomingRequest(
                                 whole(1, "tid"),
                                 field(2, "band"),
                                 field(3, "tariff"),
@@ -194,9 +196,9 @@
                                 (int) whole(7, "spread"),
                                 (int) whole(8, "first_door"),
                                 flag(9, "again_by_client")));
-            case "ACK_FIRST" -> to.firstAnswer(now, whole(1, "tid"), (int) whole(4, "round_no"));
+            case "ACK_FIRST" -> to.onResponseStarted(now, whole(1, "tid"), (int) whole(4, "round_no"));
             case "ENDED" ->
-                to.ended(
+                to.onAttemptEnded(
                         now,
                         whole(1, "tid"),
                         (int) whole(4, "round_no"),
@@ -205,24 +207,26 @@
                         flag(3, "settled"),
                         (int) wholeOr(8, "actual"),
                         load(9));
-            case "CANCELLED_BY_CLIENT" -> to.gone(now, whole(1, "tid"));
-            case "REMINDER" -> to.timer(now, whole(1, "ctx"));
-            case "PROBE_RESULT" -> to.probed(now, field(1, "server"), outcome(2), number(3, "cost_time"), load(4));
+            case "CANCELLED_BY_CLIENT" -> to.onClientDisconnected(now, whole(1, "tid"));
+            case "REMINDER" -> to.onTimer(now, whole(1, "ctx"));
+            case "PROBE_RESULT" ->
+                to.onHealthCheck(now, field(1, "server"), outcome(2), number(3, "cost_time"), load(4));
             case "COUNTER_REPLY" ->
-                to.counted(now, whole(2, "counter"), outcome(1), number(3, "cost_time"), numberOr(4, "result_value"));
+                to.onCounterReply(
+                        now, whole(2, "counter"), outcome(1), number(3, "cost_time"), numberOr(4, "result_value"));
             case "DATAGRAM" -> whole(1, "src");
             default -> throw bad("message", "unknown event " + shown(part[0]));
         }
     }
 
-    private void list(Gateway.Events to) throws IOException {
+    private void list(PolicyEvents to) throws IOException {
         String kind = field(1, "kind");
         if (!List.of("diff", "snapshot", "disk", "error").contains(kind)) {
             throw bad("kind", "unknown list kind " + shown(kind));
         }
         wholeOr(2, "seq_no");
         long count = wholeOr(3, "items");
-        List<Gateway.Server> list = new ArrayList<>();
+        List<EndpointDescriptor> list = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = next();
             if (line == null) {
@@ -232,13 +236,13 @@
             if (!part[0].equals("ITEM")) {
                 throw bad("message", "ITEM expected, found " + shown(part[0]));
             }
-            Gateway.State state = switch (field(4, "condition")) {
-                case "on" -> Gateway.State.UP;
-                case "fading" -> Gateway.State.DRAINING;
-                case "off" -> Gateway.State.GONE;
+            EndpointState state = switch (field(4, "condition")) {
+                case "on" -> EndpointState.UP;
+                case "fading" -> EndpointState.DRAINING;
+                case "off" -> EndpointState.REMOVED;
                 default -> throw bad("condition", "unknown condition " + shown(part[4]));
             };
-            list.add(new Gateway.Server(
+            list.add(new EndpointDescriptor(
                     field(3, "server"),
                     (int) wholeOr(1, "pack"),
                     field(2, "region_part"),
@@ -249,14 +253,14 @@
                     0));
         }
         if (kind.equals("error")) {
-            to.discoveryFailed(now);
+            to.onDiscoveryFailed(now);
         } else {
-            to.servers(now, list, !kind.equals("diff"));
+            to.onEndpoints(now, list, !kind.equals("diff"));
         }
     }
 
     /** The settings of an UP line; a key that is not known here is skipped. */
-    private Gateway.Settings settings() {
+    private PolicySettings settings() {
         Map<String, String> keys = new HashMap<>();
         for (int i = 2; i < part.length; i++) {
             int eq = part[i].indexOf('=');
@@ -267,7 +271,7 @@
         }
         try {
             return SettingsReader.read(keys);
-        } catch (SettingsReader.Bad bad) {
+        } catch (InvalidSettingException bad) {
             throw bad(bad.field, bad.getMessage());
         }
     }
@@ -284,8 +288,8 @@
         return values;
     }
 
-    private Gateway.Outcome outcome(int i) {
-        Gateway.Outcome outcome = OUTCOMES.get(field(i, "outcome"));
+    private CallOutcome outcome(int i) {
+        CallOutcome outcome = OUTCOMES.get(field(i, "outcome"));
         if (outcome == null) {
             throw bad("outcome", "unknown outcome " + shown(part[i]));
         }
@@ -360,7 +364,7 @@
         return "'" + (value.length() > 40 ? value.substring(0, 40) + "..." : value) + "'";
     }
 
-    private Malformed bad(String field, String what) {
-        return new Malformed("line " + lineNo + ", field " + field + ": " + what);
+    private MalformedInputException bad(String field, String what) {
+        return new MalformedInputException("line " + lineNo + ", field " + field + ": " + what);
     }
 }
--- a/src/main/java/willowyoke/net/Warmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,13 +14,26 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.DoubleSupplier;
-import willowyoke.Gateway;
+import quotagateway.client.ClientCommand;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
+import quotagateway.policy.api.PolicyFactory;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.resp.Resp;
+import quotagateway.upstream.EndpointPool;
 
 /**
  * Runs the code of the ordinary path before the edge node is ready, so that the JVM has compiled it: on part
  * of a core the first seconds of cold code make answers late. A module of its own, no sockets, a own clock.
  */
-public final class Warmup implements Gateway.Actions {
+public final class JitWarmup implements PolicyActions {
     /**
      * A restart waits for them, and after a mass kill few others carry the load meanwhile: 100 rounds kept
      * ten of 14 nodes away 0.6 s longer. 2 rounds left the first 5 s of a day on 0.15 of a core so cold that
@@ -32,7 +45,7 @@
      * Of the 10 s, and on short days 6 s, that a start may take, this (ms) is the most that goes here: on a
      * seventh of a core beside others that start it would be more, and a cold node is better than none.
      */
-    static final double MOST_TIME = 2500;
+    public static final double MOST_TIME = 2500;
 
     private static final int SERVERS = 8;
     private static final int CUSTOMERS = 97;
@@ -40,8 +53,8 @@
     /** Elements, as on the real connections. */
     private static final int MOST = 16;
 
-    private final Gateway.Settings settings;
-    private final Gateway.Events module;
+    private final PolicySettings settings;
+    private final PolicyEvents module;
     private final EmbeddedChannel client = new EmbeddedChannel();
     private final EmbeddedChannel server = new EmbeddedChannel();
     private final Map<Long, Double> totals = new HashMap<>();
@@ -49,28 +62,29 @@
     private final ArrayDeque<Runnable> told = new ArrayDeque<>();
     private double now = 1000;
 
-    private Warmup(Gateway.Settings settings, Node.Maker maker) {
+    private JitWarmup(PolicySettings settings, PolicyFactory maker) {
         this.settings = settings;
         Resp.codec(client.pipeline(), MOST);
         Resp.codec(server.pipeline(), MOST);
-        module = maker.start(settings, 1, now, this);
-        List<Gateway.Server> list = new ArrayList<>();
+        module = maker.create(settings, 1, now, this);
+        List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            list.add(new Gateway.Server("w" + i, i, settings.zone(), Gateway.State.UP, "", 0, 1, 0));
+            list.add(new EndpointDescriptor("w" + i, i, settings.zone(), EndpointState.UP, "", 0, 1, 0));
         }
-        module.servers(now, list, true);
+        module.onEndpoints(now, list, true);
     }
 
     /** Cold code is no reason not to start: what goes wrong here is told and left. */
-    public static void run(Gateway.Settings settings, Node.Maker maker) {
+    public static void run(PolicySettings settings, PolicyFactory maker) {
         run(settings, maker, () -> System.nanoTime() / 1e6);
     }
 
-    static void run(Gateway.Settings settings, Node.Maker maker, DoubleSupplier clock) {
+    static void run(PolicySettings settings, PolicyFactory maker, DoubleSupplier clock) {
         try {
             double until = clock.getAsDouble() + MOST_TIME;
-            Warmup warmup = new Warmup(settings, maker);
-            boolean able = !settings.classes().isEmpty() && !settings.plans().isEmpty();
+            JitWarmup warmup = new JitWarmup(settings, maker);
+            boolean able =
+                    !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
             for (int i = 1; able && i <= ROUNDS && clock.getAsDouble() < until; i++) {
                 warmup.round(i);
             }
@@ -86,21 +100,21 @@
     }
 
     private void round(int i) {
-        Gateway.RequestClass type =
-                settings.classes().get(i % settings.classes().size());
-        Gateway.Plan plan = settings.plans().get(i % settings.plans().size());
-        String verb = type.effect() == Gateway.Effect.SAFE ? "CALL.GET" : "CALL.POST";
+        RequestClass type =
+                settings.requestClasses().get(i % settings.requestClasses().size());
+        QuotaPlan plan = settings.plans().get(i % settings.plans().size());
+        String verb = type.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
         client.writeInbound(bytes(array(
                 verb,
                 customer(i % CUSTOMERS),
                 Integer.toHexString(i),
                 "c=" + type.name() + ",t=" + plan.name() + ",d=" + Math.round(type.deadline()) + ",k=" + i
-                        + ",units=1,spread=" + Math.min(2, settings.nodes()) + ",first=0")));
+                        + ",units=1,spread=" + Math.min(2, settings.nodeCount()) + ",first=0")));
         ArrayRedisMessage command = client.readInbound();
-        Call call = Call.of(command, settings);
-        module.arrived(
+        ClientCommand call = ClientCommand.of(command, settings);
+        module.onRequest(
                 now,
-                new Gateway.Request(
+                new IncomingRequest(
                         i,
                         call.type(),
                         call.plan(),
@@ -120,7 +134,7 @@
         now += STEP;
         for (int n = timers.size(); n > 0 && timers.peek() <= now; n--) { // a new one may be due at once
             timers.poll();
-            module.timer(now, 0);
+            module.onTimer(now, 0);
         }
         for (int n = told.size(); n > 0; n--) {
             told.poll().run();
@@ -153,33 +167,33 @@
     }
 
     @Override
-    public void send(long id, String to, double until) {
-        told.add(() -> module.ended(now, id, 0, Gateway.Outcome.OK, STEP, true, 0, ServerPool.NO_LOAD));
+    public void sendAttempt(long id, String to, double until) {
+        told.add(() -> module.onAttemptEnded(now, id, 0, CallOutcome.OK, STEP, true, 0, EndpointPool.NO_LOAD));
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
         double total = totals.merge(name, amount, Double::sum);
-        told.add(() -> module.counted(now, name, Gateway.Outcome.OK, 1, total));
+        told.add(() -> module.onCounterReply(now, name, CallOutcome.OK, 1, total));
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         timers.add(now + delay);
     }
 
     @Override
-    public void cancel(long id, int attempt) {}
+    public void cancelAttempt(long id, int attempt) {}
 
     @Override
-    public void refuse(long id, double retryAfter) {}
+    public void reject(long id, double retryAfter) {}
 
     @Override
     public void fail(long id) {}
 
     @Override
-    public void probe(String to) {}
+    public void checkHealth(String to) {}
 
     @Override
-    public void subscribe() {}
+    public void subscribeToEndpoints() {}
 }
--- a/src/main/java/willowyoke/net/Readiness.java
+++ b/src/main/java/quotagateway/startup/Readiness.java
@@ -1,6 +1,7 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import java.util.concurrent.CompletableFuture;
+import quotagateway.discovery.DiscoveryListener;
 
 /**
  * When an edge node that starts has waited long enough: for its list, for connections to app servers and to
@@ -14,7 +15,7 @@
  * <tr><td>waits, without</td><td>LIST_WITHOUT, or BY less the parts before</td><td>4000</td></tr>
  * <tr><td>all, while the parts before stay under BY - LIST_WITHIN</td><td>BY</td><td>5000</td></tr></table>
  */
-final class Readiness {
+public final class Readiness {
     /**
      * A list known from before serves after this (ms), until discovery's comes: seconds later after a mass
      * kill. Until then discovery is waited for, and one quiet call to it: what it has counts as told.
@@ -23,15 +24,15 @@
     /** Connections that are not up by then (ms) are made when they are asked for. */
     static final double WITHIN = 2000;
     /** Without any list there is nothing to serve by: waited for somewhat longer (ms). */
-    static final double LIST_WITHOUT = 4000;
+    public static final double LIST_WITHOUT = 4000;
     /** Ready by then (ms), counted from the first line of the program, where the processor allows it. */
     static final double BY = 5000;
 
     private Readiness() {}
 
     /** Done once all three are, or have been waited for; spent are the ms of the start before. */
-    static CompletableFuture<Void> of(
-            Discovery.Host clock,
+    public static CompletableFuture<Void> of(
+            DiscoveryListener clock,
             double spent,
             boolean known,
             CompletableFuture<Void> discovery,
--- a/src/main/java/willowyoke/net/Rehearsal.java
+++ b/src/main/java/quotagateway/startup/StartupRecording.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,14 +10,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import quotagateway.admin.AdminServer;
+import quotagateway.node.GatewayNode;
 
 /**
  * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can write the
  * archive of classes that such a start loads. Nothing of it is kept but that archive.
  */
-public final class Rehearsal implements AutoCloseable {
+public final class StartupRecording implements AutoCloseable {
     private static final String CONFIG = """
-        {"name":"rehearsal","listen":"127.0.0.1:0","control":"127.0.0.1:0","discovery":"127.0.0.1:%1$d",
+        {"name":"startup-recording","listen":"127.0.0.1:0","control":"127.0.0.1:0","discovery":"127.0.0.1:%1$d",
          "counter":"127.0.0.1:%1$d","seed":"1","known":%2$s,
          "settings":{"rank":0,"group_size":2,"tick":4,"feedback":{"fields":["utilization"]},
           "limits":{"probing":true,"cancelling":true,"retry_after":true,"send_cap":5,"max_retry_after":2000},
@@ -34,9 +36,9 @@
         """;
 
     private final ServerSocket peers = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Path file = Files.createTempFile("rehearsal", ".json");
+    private final Path file = Files.createTempFile("startup-recording", ".json");
 
-    public Rehearsal() throws IOException {
+    public StartupRecording() throws IOException {
         String list = String.format(LIST, peers.getLocalPort());
         Files.writeString(file, String.format(CONFIG, peers.getLocalPort(), list));
         Thread answering = new Thread(() -> answer(peers, list), "stand-ins");
@@ -50,7 +52,7 @@
     }
 
     /** One client that asks, and is answered. */
-    public void ask(Node node) throws IOException {
+    public void ask(GatewayNode node) throws IOException {
         InetSocketAddress at = (InetSocketAddress) node.address();
         try (Socket client = new Socket(at.getAddress(), at.getPort())) {
             client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -62,7 +64,7 @@
         Files.delete(file);
     }
 
-    private static void call(Node node, String call) throws IOException {
+    private static void call(GatewayNode node, String call) throws IOException {
         InetSocketAddress at = (InetSocketAddress) node.control();
         try (Socket operator = new Socket(at.getAddress(), at.getPort())) {
             operator.getOutputStream()
@@ -92,14 +94,14 @@
                             }
                         }
                     } catch (IOException e) {
-                        // the rehearsal has ended
+                        // the recording has ended
                     }
                 });
                 reading.setDaemon(true);
                 reading.start();
             }
         } catch (IOException e) {
-            // the rehearsal has ended
+            // the recording has ended
         }
     }
 }
--- a/src/main/java/willowyoke/net/StartLog.java
+++ b/src/main/java/quotagateway/startup/StartupTimeline.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,7 +9,7 @@
  * so long, and the others carry its load. Wall time and CPU (ms) since the process began, by the system's own
  * count in hundredths of a second; on part of a core the two differ by what the node was held back.
  */
-public final class StartLog {
+public final class StartupTimeline {
     /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
     private static final int USER = 11;
 
@@ -19,7 +19,7 @@
     private static final long BEGUN = System.nanoTime();
     private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
 
-    private StartLog() {}
+    private StartupTimeline() {}
 
     /** How long (ms) the program has run since its first line here. */
     public static double spent() {
--- a/src/main/java/willowyoke/net/Body.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -1,23 +1,24 @@
-package willowyoke.net;
+package quotagateway.streaming;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
+import quotagateway.resp.Resp;
 
 /**
  * A request's value too large to stand in memory, on its way from a client to an app server. Its first part
  * is kept until an attempt takes it, and the rest passes through: so there is one such attempt, and a request
  * whose kept part is gone is not sent again.
  */
-final class Body {
+public final class RequestBody {
     /** The app server's end. */
-    interface Sink {
+    public interface Sink {
         /** Takes the part over; false where no more should come for now. */
         boolean write(ByteBuf part, boolean last);
     }
 
     /** So much is kept (bytes) before a server is looked for, and no more. */
-    static final int KEPT = Resp.VALUE;
+    public static final int KEPT = Resp.VALUE;
 
     private final int length;
     private final double begunAt;
@@ -31,18 +32,18 @@
     private boolean open = true;
 
     /** The last is run when the client should be read on, or no further. */
-    Body(int length, double now, Runnable wanted) {
+    public RequestBody(int length, double now, Runnable wanted) {
         this.length = length;
         this.wanted = wanted;
         begunAt = now;
     }
 
-    int length() {
+    public int length() {
         return length;
     }
 
     /** A part has come, which is this one's to release. */
-    void content(ByteBuf part) {
+    public void content(ByteBuf part) {
         got += part.readableBytes();
         if (dropped) {
             part.release();
@@ -56,32 +57,32 @@
         }
     }
 
-    boolean whole() {
+    public boolean whole() {
         return got == length;
     }
 
     /** Enough has come to look for a server. */
-    boolean begun() {
+    public boolean begun() {
         return bytes >= KEPT || whole();
     }
 
     /** Whether more should be read from the client. */
-    boolean wants() {
+    public boolean wants() {
         return dropped || (sink != null ? open : bytes < KEPT);
     }
 
     /** How long (ms) the rest takes at the pace so far. */
-    double rest(double now) {
+    public double rest(double now) {
         return got == 0 ? 0 : (now - begunAt) / got * (length - got);
     }
 
     /** An attempt has begun to take it, or it is of no more use: it cannot be sent as if whole. */
-    boolean isGone() {
+    public boolean isGone() {
         return taken || dropped;
     }
 
     /** From here on all goes to this server. */
-    void to(Sink server) {
+    public void to(Sink server) {
         taken = true;
         sink = server;
         while (!kept.isEmpty()) {
@@ -92,13 +93,13 @@
     }
 
     /** The server takes more, or no more for now. */
-    void open(boolean on) {
+    public void open(boolean on) {
         open = on;
         wanted.run();
     }
 
     /** What has not come yet is read and dropped: the client's next command is behind it. */
-    void drop() {
+    public void drop() {
         if (!dropped) {
             dropped = true;
             sink = null;
--- a/src/main/java/willowyoke/net/ValueStream.java
+++ b/src/main/java/quotagateway/streaming/StreamedResponse.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.streaming;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -9,14 +9,17 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
+import quotagateway.client.ClientListener;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.node.GatewayNode;
 
 /**
  * A value too large to stand in memory, on its way from an app server to a client. What has come is written
  * on at once; the server is read only while the client takes it. A stream ends in one way, and once.
  */
-final class ValueStream {
+public final class StreamedResponse {
     /** The app server's end. */
-    interface Source {
+    public interface Source {
         void read(boolean on);
 
         /** The value is of no use any more. */
@@ -28,7 +31,7 @@
 
     private static final double CHECK = 500;
 
-    private final Node node;
+    private final GatewayNode node;
     private final Source source;
     private final ClientListener.Slot slot;
     private final String type;
@@ -42,7 +45,7 @@
     private double movedAt;
     private Future<?> watch;
 
-    ValueStream(Node node, Source source, ClientListener.Slot slot, String type, int length) {
+    public StreamedResponse(GatewayNode node, Source source, ClientListener.Slot slot, String type, int length) {
         this.node = node;
         this.source = source;
         this.slot = slot;
@@ -63,7 +66,7 @@
     // ---- from the server ----
 
     /** Takes the part over. */
-    void content(ByteBuf part, boolean last) {
+    public void content(ByteBuf part, boolean last) {
         if (over) {
             part.release();
             return;
@@ -82,12 +85,12 @@
     }
 
     /** The server's connection has ended, or what comes on it cannot be read: the rest does not come. */
-    void broken() {
+    public void broken() {
         if (over || whole) {
             return;
         }
         boolean begun = sink != null;
-        end(Metrics.Outcome.FAULTED);
+        end(RequestOutcome.FAULTED);
         source.stop();
         if (begun) {
             slot.brokenOff();
@@ -99,7 +102,7 @@
     // ---- from the client ----
 
     /** All answers before this one are written. */
-    void turn(Channel channel) {
+    public void turn(Channel channel) {
         if (sink != null || over) {
             return;
         }
@@ -115,7 +118,7 @@
     }
 
     /** The client's connection has taken what was written, or has more than enough again. */
-    void pace() {
+    public void pace() {
         if (!over && !whole) {
             boolean on = sink != null && sink.isWritable();
             movedAt = on ? node.now() : movedAt;
@@ -124,7 +127,7 @@
     }
 
     /** The client has gone: nobody waits for the rest. */
-    void abandoned() {
+    public void abandoned() {
         if (!over) {
             end(null);
             source.stop();
@@ -137,7 +140,7 @@
         } else {
             sink.write(new DefaultLastBulkStringRedisContent(part)).addListener(f -> {
                 if (f.isSuccess()) {
-                    end(Metrics.Outcome.FULFILLED);
+                    end(RequestOutcome.FULFILLED);
                 }
             });
             slot.streamed();
@@ -145,7 +148,7 @@
         node.flushLater(sink);
     }
 
-    private void end(Metrics.Outcome outcome) {
+    private void end(RequestOutcome outcome) {
         if (!over) {
             over = true;
             watch.cancel(false);
--- a/src/main/java/willowyoke/net/AcceptFailure.java
+++ b/src/main/java/quotagateway/transport/AcceptFailureHandler.java
@@ -1,22 +1,23 @@
-package willowyoke.net;
+package quotagateway.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
+import quotagateway.node.GatewayNode;
 
 /**
  * On a listener: with no descriptor left it accepts none for a while. The library's own answer is a line of
  * its log, whose date needs a file that cannot be opened then either: that error ended the event loop.
  */
-final class AcceptFailure extends ChannelInboundHandlerAdapter {
+public final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     /** Until the next attempt (ms): connections end within some tens of it, and who waits is not answered. */
     private static final double PAUSE = 100;
 
-    private final Node node;
+    private final GatewayNode node;
     private final Runnable resume;
 
     /** Resume is run after the pause: it decides whether connections are accepted again. */
-    AcceptFailure(Node node, Runnable resume) {
+    public AcceptFailureHandler(GatewayNode node, Runnable resume) {
         this.node = node;
         this.resume = resume;
     }
--- a/src/main/java/willowyoke/net/Transport.java
+++ b/src/main/java/quotagateway/transport/Transport.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.transport;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.ChannelOption;
@@ -19,9 +19,9 @@
 import java.net.StandardSocketOptions;
 
 /** Native epoll, measured to take a fifth less CPU than NIO; NIO where its library cannot be loaded. */
-final class Transport {
+public final class Transport {
     /** Tests run the other one too; set before a node is made. */
-    static volatile boolean epoll = Epoll.isAvailable();
+    public static volatile boolean epoll = Epoll.isAvailable();
     /** Reads of one connection in a round of the loop, as is the library's own number. */
     private static final int READS = 16;
 
@@ -35,31 +35,31 @@
 
     private Transport() {}
 
-    static int ahead() {
+    public static int ahead() {
         return epoll ? AHEAD : AHEAD_UNTOLD;
     }
 
     /** Reads on behind the last bytes, and so to an end that came with them: only epoll tells it unasked. */
-    static RecvByteBufAllocator toTheEnd() {
+    public static RecvByteBufAllocator toTheEnd() {
         AdaptiveRecvByteBufAllocator reads = new AdaptiveRecvByteBufAllocator();
         reads.maxMessagesPerRead(READS);
         return reads.respectMaybeMoreData(epoll);
     }
 
-    static EventLoopGroup loop() {
+    public static EventLoopGroup loop() {
         return new MultiThreadIoEventLoopGroup(1, epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
     /** Lets a second process listen at the same address. */
-    static ChannelOption<Boolean> shared() {
+    public static ChannelOption<Boolean> shared() {
         return epoll ? UnixChannelOption.SO_REUSEPORT : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
     }
 
-    static Class<? extends SocketChannel> socket() {
+    public static Class<? extends SocketChannel> socket() {
         return epoll ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
-    static Class<? extends ServerSocketChannel> listener() {
+    public static Class<? extends ServerSocketChannel> listener() {
         return epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 }
--- a/src/main/java/willowyoke/net/ServerPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -28,14 +28,24 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.node.ActiveRequest;
+import quotagateway.node.GatewayNode;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.resp.Resp;
+import quotagateway.streaming.RequestBody;
+import quotagateway.streaming.StreamedResponse;
+import quotagateway.transport.Transport;
 
 /**
  * Connections to app servers, and the attempts and probes on them. A connection carries one request at a
  * time: answers come in order, so a slow one would hold up those behind it, and giving it up end them all.
  */
-final class ServerPool {
-    static final double[] NO_LOAD = new double[0];
+public final class EndpointPool {
+    public static final double[] NO_LOAD = new double[0];
     /**
      * So long (ms) before the servers' idle limit a connection is retired: a request that crosses its end is
      * reset, and a sweep, the way there and a late loop come between. Of a short limit this part stays.
@@ -78,21 +88,21 @@
             "errors_per_s");
 
     /** What is out on a connection: an attempt of a request, or a probe. */
-    static class Attempt {
-        final Node.Request request;
-        final int number;
-        final String server;
-        final double sent;
+    public static class Attempt {
+        public final ActiveRequest request;
+        public final int number;
+        public final String server;
+        public final double sent;
         /** Where it goes, as the list had it then; null where the pool does not use that server. */
-        final Gateway.Server place;
+        public final EndpointDescriptor place;
 
-        boolean done;
+        public boolean done;
         /** Set when it has ended. */
-        Gateway.Outcome outcome;
+        public CallOutcome outcome;
 
         private Link link;
 
-        Attempt(Node.Request request, int number, String server, double sent, Gateway.Server place) {
+        public Attempt(ActiveRequest request, int number, String server, double sent, EndpointDescriptor place) {
             this.place = place;
             this.request = request;
             this.number = number;
@@ -105,7 +115,7 @@
     private static final class Target {
         final String id;
         final long dial;
-        Gateway.Server told;
+        EndpointDescriptor told;
         final ArrayDeque<Link> idle = new ArrayDeque<>();
         final Set<Link> links = new LinkedHashSet<>();
         final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
@@ -114,17 +124,17 @@
         /** The whole list that last named it. */
         int part;
 
-        Target(Gateway.Server told) {
+        Target(EndpointDescriptor told) {
             this.told = told;
             id = told.id();
-            dial = told.dial();
+            dial = told.address();
         }
 
         /**
          * Writes on the connection that was used last, of those that have rested; false where none has. Those
          * that have stood idle for too long are closed.
          */
-        boolean write(Attempt a, double now, IdleLimit limit) {
+        boolean write(Attempt a, double now, IdleTimeoutEstimator limit) {
             for (Iterator<Link> it = idle.descendingIterator(); it.hasNext(); ) {
                 Link link = it.next();
                 if (link.used && !limit.allows(now - link.usedAt)) {
@@ -140,18 +150,18 @@
         }
     }
 
-    private final Node node;
+    private final GatewayNode node;
     private final Bootstrap bootstrap;
-    private final Config config;
+    private final GatewayConfig config;
     private final int most;
     private final Map<String, Target> targets = new HashMap<>();
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
-    private final IdleLimit idleLimit = new IdleLimit();
+    private final IdleTimeoutEstimator idleLimit = new IdleTimeoutEstimator();
     private int open;
     private int part;
     private boolean known;
 
-    ServerPool(Node node, EventLoopGroup group, Config config, int most) {
+    public EndpointPool(GatewayNode node, EventLoopGroup group, GatewayConfig config, int most) {
         this.node = node;
         this.config = config;
         this.most = most;
@@ -166,18 +176,18 @@
     }
 
     /** Done when every server that the first list has brought in has had its connection come up or fail. */
-    CompletableFuture<Void> ready() {
+    public CompletableFuture<Void> ready() {
         return ready;
     }
 
     // ---- the list ----
 
     /** A whole list begins: who it does not name by its end has gone. */
-    void listBegins() {
+    public void listBegins() {
         part++;
     }
 
-    void listEnds() {
+    public void listEnds() {
         for (Target t : targets.values().toArray(new Target[0])) {
             if (t.part != part) {
                 leave(targets.remove(t.id));
@@ -186,18 +196,18 @@
     }
 
     /** What changes at servers that are used; which those are is the module's to say. */
-    void listed(List<Gateway.Server> list) {
-        for (Gateway.Server s : list) {
+    public void listed(List<EndpointDescriptor> list) {
+        for (EndpointDescriptor s : list) {
             Target t = targets.get(s.id());
             if (t == null) {
                 continue;
             }
             t.part = part;
-            if (s.state() == Gateway.State.UP) {
+            if (s.state() == EndpointState.UP) {
                 keep(s);
             } else {
                 leave(t);
-                if (s.state() == Gateway.State.GONE) {
+                if (s.state() == EndpointState.REMOVED) {
                     targets.remove(s.id());
                 }
             }
@@ -205,15 +215,15 @@
     }
 
     /** The module has heard of a list, and has told which of its servers are used. */
-    void known() {
+    public void known() {
         known = true;
         isReady();
     }
 
     /** Uses this server, as far as it is up: one connection is made so that the first request has it. */
-    void keep(Gateway.Server s) {
+    public void keep(EndpointDescriptor s) {
         Target t = targets.get(s.id());
-        if (t == null || t.dial != s.dial()) {
+        if (t == null || t.dial != s.address()) {
             leave(t);
             t = new Target(s);
             targets.put(s.id(), t);
@@ -227,13 +237,13 @@
     }
 
     /** A server that is used, as the list has it, or null. */
-    Gateway.Server told(String server) {
+    public EndpointDescriptor told(String server) {
         Target t = targets.get(server);
         return t == null ? null : t.told;
     }
 
     /** Not used any more, or not listed: what is idle there goes, what is out may end. */
-    void release(String server) {
+    public void release(String server) {
         leave(targets.remove(server));
     }
 
@@ -246,7 +256,7 @@
     }
 
     /** Nothing that waits goes to this server any more; the list's word on it stands. */
-    void withdraw(String server) {
+    public void withdraw(String server) {
         Target t = targets.get(server);
         if (t != null) {
             withdraw(t);
@@ -259,11 +269,11 @@
         }
         while (!t.waiting.isEmpty()) {
             Attempt a = t.waiting.poll();
-            node.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+            node.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
         }
     }
 
-    void start() {
+    public void start() {
         node.after(SWEEP, this::sweep);
     }
 
@@ -286,10 +296,10 @@
 
     // ---- attempts ----
 
-    void send(Attempt a) {
+    public void send(Attempt a) {
         Target t = targets.get(a.server);
         if (t == null || !t.up) {
-            node.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+            node.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
             return;
         }
         if (t.write(a, node.now(), idleLimit)) {
@@ -301,7 +311,7 @@
             return;
         }
         if (open >= most && !spare()) {
-            node.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+            node.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
             return;
         }
         t.waiting.add(a);
@@ -316,7 +326,7 @@
         t.waiting.removeIf(a -> {
             boolean denied = a.request != null && node.denies(a);
             if (denied) {
-                node.later(() -> end(a, Gateway.Outcome.NOT_SENT, null, NO_LOAD));
+                node.later(() -> end(a, CallOutcome.NOT_SENT, null, NO_LOAD));
             }
             return denied;
         });
@@ -328,20 +338,20 @@
         }
     }
 
-    void probe(String server) {
+    public void probe(String server) {
         Attempt a = new Attempt(null, 0, server, node.now(), null);
-        node.after(PROBE_WITHIN, () -> giveUp(a, Gateway.Outcome.TIMEOUT));
+        node.after(PROBE_WITHIN, () -> giveUp(a, CallOutcome.TIMEOUT));
         send(a);
     }
 
     /** Stops waiting for an attempt. One that was not written whole cannot have run. */
-    void giveUp(Attempt a, Gateway.Outcome outcome) {
+    public void giveUp(Attempt a, CallOutcome outcome) {
         if (a.done) {
             return;
         }
         Link link = a.link;
         boolean unsent = link == null || !link.written;
-        end(a, unsent && outcome == Gateway.Outcome.TIMEOUT ? Gateway.Outcome.NO_CONNECTION : outcome, null, NO_LOAD);
+        end(a, unsent && outcome == CallOutcome.TIMEOUT ? CallOutcome.NO_CONNECTION : outcome, null, NO_LOAD);
         if (link == null) {
             Target t = targets.get(a.server);
             if (t != null) {
@@ -354,13 +364,13 @@
     }
 
     /** Ends an attempt that the server has not got whole, and so has not begun. */
-    void recall(Attempt a) {
+    public void recall(Attempt a) {
         if (a.link == null || !a.link.written) {
-            giveUp(a, Gateway.Outcome.NOT_SENT);
+            giveUp(a, CallOutcome.NOT_SENT);
         }
     }
 
-    private void end(Attempt a, Gateway.Outcome outcome, RedisMessage value, double[] load) {
+    private void end(Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
         if (a.done) {
             return;
         }
@@ -402,7 +412,7 @@
                         channel.pipeline().addLast(link);
                     }
                 })
-                .connect(Config.address(t.dial));
+                .connect(GatewayConfig.address(t.dial));
         connected.addListener(f -> {
             t.connecting--;
             if (!f.isSuccess()) {
@@ -410,7 +420,7 @@
                 // every attempt that waits began a connection: one too few now, and the oldest goes without
                 if (t.waiting.size() > t.connecting + t.idle.size()) {
                     Attempt a = t.waiting.poll(); // later: with no descriptor left it fails inside the send
-                    node.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+                    node.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
                 }
             } else if (!t.up) {
                 t.links.add(link);
@@ -427,12 +437,12 @@
     }
 
     private final class Link extends ChannelInboundHandlerAdapter
-            implements Resp.LargeValue, ValueStream.Source, Body.Sink {
+            implements Resp.LargeValue, StreamedResponse.Source, RequestBody.Sink {
         private final Target target;
         private Channel channel;
         private Attempt current;
         /** The large value that comes, or has come with the rest of its answer still to come. */
-        private ValueStream stream;
+        private StreamedResponse stream;
 
         private Resp.Raw raw;
         private boolean written;
@@ -555,8 +565,8 @@
                         end(
                                 a,
                                 written || a.request == null || a.request.body == null
-                                        ? Gateway.Outcome.ERROR
-                                        : Gateway.Outcome.NO_CONNECTION,
+                                        ? CallOutcome.ERROR
+                                        : CallOutcome.NO_CONNECTION,
                                 null,
                                 NO_LOAD);
                     }
@@ -622,7 +632,7 @@
                     && Resp.isValue(array.children().get(0))
                     && a.request != null) {
                 List<RedisMessage> parts = array.children();
-                end(a, Gateway.Outcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
+                end(a, CallOutcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
             } else if (msg instanceof ErrorRedisMessage error) {
                 String text = error.content();
                 boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
@@ -633,11 +643,11 @@
                 int space = text.lastIndexOf(' ');
                 end(
                         a,
-                        busy ? Gateway.Outcome.FULL : Gateway.Outcome.ERROR,
+                        busy ? CallOutcome.FULL : CallOutcome.ERROR,
                         null,
                         text.indexOf('=', space) > 0 ? load(text.substring(space + 1)) : NO_LOAD);
             } else if (a.request == null && Resp.isValue(msg)) {
-                end(a, Gateway.Outcome.OK, null, load(Resp.text(msg)));
+                end(a, CallOutcome.OK, null, load(Resp.text(msg)));
             } else {
                 return false;
             }
@@ -665,7 +675,7 @@
         /** Half an answer has come, of an attempt or behind a large value: waited for while it grows. */
         private void incomplete(Attempt a) {
             long before = raw.pending;
-            ValueStream value = stream;
+            StreamedResponse value = stream;
             node.after(WHOLE_WITHIN, () -> {
                 if (current != a || stream != value || a == null && value == null) {
                     return;
@@ -681,7 +691,7 @@
         /** What has come is no answer's beginning: nothing more on this connection can be told apart. */
         private void spoilt() {
             Attempt a = current;
-            ValueStream value = stream;
+            StreamedResponse value = stream;
             current = null;
             stream = null;
             close(CloseReason.UNREADABLE);
@@ -689,7 +699,7 @@
                 value.broken();
             }
             if (a != null) {
-                end(a, Gateway.Outcome.ERROR, null, NO_LOAD);
+                end(a, CallOutcome.ERROR, null, NO_LOAD);
             }
         }
 
@@ -703,7 +713,7 @@
                 serve(target);
             }
             Attempt a = current;
-            ValueStream value = stream;
+            StreamedResponse value = stream;
             current = null;
             stream = null;
             if (value != null) {
@@ -713,7 +723,7 @@
                 if (written && raw.pending == 0) {
                     learn(true);
                 }
-                end(a, written ? Gateway.Outcome.RESET : Gateway.Outcome.NO_CONNECTION, null, NO_LOAD);
+                end(a, written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, null, NO_LOAD);
             }
             node.flush();
         }
--- a/src/main/java/willowyoke/net/IdleLimit.java
+++ b/src/main/java/quotagateway/upstream/IdleTimeoutEstimator.java
@@ -1,11 +1,11 @@
-package willowyoke.net;
+package quotagateway.upstream;
 
 /**
  * How long a connection may have stood idle and be used again, learned from what comes of using it. A peer
  * closes idle connections when it likes, up to its stated limit, and some do so without a word: the next
  * request written there ends as a reset, which may have run. Only requests can find that out.
  */
-final class IdleLimit {
+final class IdleTimeoutEstimator {
     /** The first class of ages ends here (ms), each further one at twice the one before. */
     private static final double FIRST = 25;
 
--- a/src/test/java/willowyoke/net/DiscoveryTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,10 +24,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.node.NodeFixture;
+import quotagateway.policy.api.EndpointDescriptor;
 
 /** On one fake clock: what discovery has is heard of in time, whatever became of the calls before. */
-class DiscoveryTest {
+public class DiscoveryClientTest {
     /** A change counts as told by then (ms), less the grace for a drain. */
     private static final double TOLD = 6000 - 250;
 
@@ -53,7 +56,7 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
     /** The node, the module's own pauses where lists are asked for, the network, and the agent behind it. */
-    static final class World implements Discovery.Host, Discovery.Connector {
+    public static final class World implements DiscoveryListener, DiscoveryClient.Connector {
         private record Task(double due, long number, Runnable what) {}
 
         private final PriorityQueue<Task> tasks =
@@ -61,7 +64,7 @@
         private final Map<EmbeddedChannel, Way> open = new LinkedHashMap<>();
         private final Random random = new Random(7);
         private final boolean asked;
-        private final Discovery discovery;
+        private final DiscoveryClient discovery;
         private double now;
         private double backoff = 1000;
         private long number;
@@ -76,9 +79,9 @@
         /** The entries of the list, or null for one. */
         private String hosts;
 
-        World(boolean asked) {
+        public World(boolean asked) {
             this.asked = asked;
-            discovery = new Discovery(this, this, Config.of(json("""
+            discovery = new DiscoveryClient(this, this, GatewayConfig.of(json("""
                 {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n","seed":"5",
                  "limits":{"memory_mb":32},"settings":{"rank":0,"group_size":1,
                  "request_classes":[{"name":"r","effect":"read_like","aim":6,"hard_limit":9}],
@@ -93,7 +96,7 @@
             }
         }
 
-        void to(double time) {
+        public void to(double time) {
             while (!tasks.isEmpty() && tasks.peek().due <= time && heard == Double.MAX_VALUE) {
                 Task task = tasks.poll();
                 now = task.due;
@@ -128,7 +131,9 @@
             once = null;
             if (then == Way.NO_CONNECTION || then == Way.NOT_UP) {
                 ChannelPromise promise = new EmbeddedChannel().newPromise();
-                after(then == Way.NOT_UP ? Discovery.CONNECT : 0, () -> promise.setFailure(new ConnectException()));
+                after(
+                        then == Way.NOT_UP ? DiscoveryClient.CONNECT : 0,
+                        () -> promise.setFailure(new ConnectException()));
                 return promise;
             }
             EmbeddedChannel c = new EmbeddedChannel(handler);
@@ -200,7 +205,7 @@
         }
 
         @Override
-        public void listed(List<Gateway.Server> list, boolean whole) {
+        public void listed(List<EndpointDescriptor> list, boolean whole) {
             if (list.stream().anyMatch(s -> s.id().equals("news"))) {
                 heard = now;
             }
--- a/src/test/java/willowyoke/net/ListReaderTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListParserTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,13 +16,16 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.node.NodeFixture;
+import quotagateway.policy.api.EndpointDescriptor;
 
 /** Lists in every form that discovery may give them, cut anywhere, of any length. */
-class ListReaderTest implements ListReader.Taker {
+class EndpointListParserTest implements EndpointListParser.Taker {
     private static final int MOST = 5000;
     private final List<String> told = new ArrayList<>();
-    private ListReader reader = new ListReader(this, MOST);
+    private EndpointListParser reader = new EndpointListParser(this, MOST);
 
     @Override
     public void begins() {
@@ -30,7 +33,7 @@
     }
 
     @Override
-    public void take(List<Gateway.Server> servers, boolean whole) {
+    public void take(List<EndpointDescriptor> servers, boolean whole) {
         if (servers.size() > 5) {
             told.add((whole ? "whole " : "changes ") + servers.size());
             return;
@@ -47,7 +50,7 @@
                 .append('/')
                 .append(s.weight())
                 .append('@')
-                .append(s.dial()));
+                .append(s.address()));
         told.add(text.toString());
     }
 
@@ -79,7 +82,10 @@
 
     private static String hosts(int number) {
         return String.join(
-                ",", IntStream.range(0, number).mapToObj(ListReaderTest::host).toList());
+                ",",
+                IntStream.range(0, number)
+                        .mapToObj(EndpointListParserTest::host)
+                        .toList());
     }
 
     @Test
@@ -104,7 +110,7 @@
                 "ends NaN whole");
         for (int piece : new int[] {1, 2, 3, 7, 64, 10_000}) {
             told.clear();
-            reader = new ListReader(this, MOST);
+            reader = new EndpointListParser(this, MOST);
             read(text, piece);
             assertEquals(expected, told, "in pieces of " + piece);
             assertFalse(reader.pending());
@@ -162,7 +168,7 @@
                         .sum());
         read("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts(6) + "]}", 8192);
         assertFalse(reader.tooLong());
-        reader = new ListReader(this, 6); // one bound under what goes over at once
+        reader = new EndpointListParser(this, 6); // one bound under what goes over at once
         told.clear();
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(7) + "]}", 8192);
         assertEquals(List.of("longer than 6", "changes 6", "ends 1.0 whole"), told);
@@ -176,10 +182,10 @@
                 "h\",\"a\":[" + "1,".repeat(1 << 19),
                 "h\",\"" + "n".repeat(1 << 20),
                 "h\"" + " ".repeat(1 << 20))) {
-            reader = new ListReader(this, MOST);
+            reader = new EndpointListParser(this, MOST);
             assertThrows(IOException.class, () -> read(list + rest, 8192));
         }
-        reader = new ListReader(this, MOST);
+        reader = new EndpointListParser(this, MOST);
         read("\n".repeat(1 << 18), 1);
         read("{\"hosts\":[" + hosts(6) + "]}", 8192);
         assertEquals("ends NaN", told.get(told.size() - 1));
@@ -198,7 +204,7 @@
         for (String text : List.of(known + "," + rest, rest + "," + known)) {
             told.clear();
             Files.writeString(file, "{" + text + "}");
-            Config config = Config.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()));
+            GatewayConfig config = GatewayConfig.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()));
             assertEquals((32 << 20) / 800, config.servers());
             config.known().read(reader);
             assertEquals(List.of("begins", "changes 1000", "changes 200", "ends 41.0 whole drops"), told);
@@ -207,7 +213,7 @@
             Files.writeString(file, "{" + rest + none + "}");
             assertEquals(
                     null,
-                    Config.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()))
+                    GatewayConfig.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()))
                             .known());
         }
         Json settings = Json.without("known", file).get("settings");
--- a/src/test/java/willowyoke/net/EventLogTest.java
+++ b/src/test/java/quotagateway/log/EventLogTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.log;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.NodeState;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.FailureReason;
 
 /** What the event log keeps, and what it writes when. */
 class EventLogTest {
@@ -23,20 +27,20 @@
 
     @Test
     void beforeAShutdownEventsAreKeptAndNotWritten() {
-        log.add(1000.7, new Event.Abandoned("01"));
+        log.add(1000.7, new NodeEvent.Abandoned("01"));
         assertEquals(List.of(), lines());
     }
 
     @Test
     void inAShutdownEventsAreWrittenAsTheyHappen() {
         log.writeAll();
-        log.add(1000.7, new Event.State(Phase.DRAINING, 2907.6));
-        log.add(1001, new Event.Taken("01", "read", 7, 350.4, 2, 1500));
-        log.add(1002, new Event.Sent("01", 1, "s0", Gateway.Outcome.RESET));
-        log.add(1003, new Event.Ended("01", 1, "s0", Gateway.Outcome.TIMEOUT, 12.4));
-        log.add(1004, new Event.Answered("01", Metrics.Outcome.FAULTED, Gateway.EndReason.DEADLINE));
-        log.add(1005, new Event.ClientClosed(7, CloseReason.SHUTDOWN_ANSWERED, 360, 3, 0));
-        log.add(1006, new Event.ServerClosed("s0", CloseReason.ATTEMPT_GIVEN_UP));
+        log.add(1000.7, new NodeEvent.State(NodeState.DRAINING, 2907.6));
+        log.add(1001, new NodeEvent.Taken("01", "read", 7, 350.4, 2, 1500));
+        log.add(1002, new NodeEvent.Sent("01", 1, "s0", CallOutcome.RESET));
+        log.add(1003, new NodeEvent.Ended("01", 1, "s0", CallOutcome.TIMEOUT, 12.4));
+        log.add(1004, new NodeEvent.Answered("01", RequestOutcome.FAULTED, FailureReason.DEADLINE));
+        log.add(1005, new NodeEvent.ClientClosed(7, CloseReason.SHUTDOWN_ANSWERED, 360, 3, 0));
+        log.add(1006, new NodeEvent.ServerClosed("s0", CloseReason.ATTEMPT_GIVEN_UP));
         assertEquals(
                 List.of(
                         "t=1000 state to=DRAINING answers_due_in=2908",
@@ -51,8 +55,8 @@
 
     @Test
     void whatLedToAnEventIsToldOfItsRequestAlone() {
-        log.add(1, new Event.Abandoned("01"));
-        log.add(2, new Event.Abandoned("02"));
+        log.add(1, new NodeEvent.Abandoned("01"));
+        log.add(2, new NodeEvent.Abandoned("02"));
         log.explain("02");
         assertEquals(List.of("t=2 abandoned request=02"), lines());
     }
@@ -60,7 +64,7 @@
     @Test
     void theMemoryIsBounded() {
         for (int i = 0; i < 10_000; i++) {
-            log.add(i, new Event.Abandoned("01"));
+            log.add(i, new NodeEvent.Abandoned("01"));
         }
         log.explain("01");
         List<String> lines = lines();
@@ -72,7 +76,7 @@
     void soManyLinesAndNoMoreAreWritten() {
         log.writeAll();
         for (int i = 0; i < 10_000; i++) {
-            log.add(i, new Event.Abandoned("01"));
+            log.add(i, new NodeEvent.Abandoned("01"));
         }
         assertEquals(4000, lines().size());
     }
--- a/src/test/java/willowyoke/net/AdminServerTest.java
+++ b/src/test/java/quotagateway/node/AdminServerTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,6 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
 
 /** Calls at the operators' door: good ones, wrong ones, and callers that never finish one. */
 class AdminServerTest extends NodeFixture {
@@ -86,9 +88,10 @@
 
     @Test
     void withoutAnAddressThereIsNoDoor() throws Exception {
-        Config config = Config.of(Json.read(config().replace("\"control\":\"127.0.0.1:0\",", "")), Map.of());
+        GatewayConfig config =
+                GatewayConfig.of(Json.read(config().replace("\"control\":\"127.0.0.1:0\",", "")), Map.of());
         assertNull(config.control());
-        config = Config.of(Json.read(config()), Map.of("EDGE_CONTROL", "127.0.0.2:7000"));
+        config = GatewayConfig.of(Json.read(config()), Map.of("EDGE_CONTROL", "127.0.0.2:7000"));
         assertEquals(new InetSocketAddress("127.0.0.2", 7000), config.control());
     }
 }
--- a/src/test/java/willowyoke/net/GoneTest.java
+++ b/src/test/java/quotagateway/node/ClientDisconnectTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,9 +16,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import quotagateway.transport.Transport;
 
 /** Nothing begins for a client that has gone: under both transports, as one tells an end and one does not. */
-class GoneTest extends NodeFixture {
+class ClientDisconnectTest extends NodeFixture {
     private static final int PIPELINED = 256;
     /** No deadline ends what these tests wait for. */
     private static final int LONG = 60_000;
--- a/src/test/java/willowyoke/net/CordonsTest.java
+++ b/src/test/java/quotagateway/node/CordonStoreTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Calls that take servers out, and what is kept of them. */
-class CordonsTest extends NodeFixture {
+class CordonStoreTest extends NodeFixture {
     private Path file() {
         return state.resolve("cordons-n0");
     }
--- a/src/test/java/willowyoke/net/DescriptorTest.java
+++ b/src/test/java/quotagateway/node/DescriptorLimitTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,7 +23,7 @@
 
 /** A whole edge node, in a process that the system holds to the descriptors it was told. */
 @Timeout(60)
-class DescriptorTest {
+class DescriptorLimitTest {
     private static final int SOCKETS = 128;
     /** To the counter. */
     private static final int LINES = 4;
@@ -41,7 +41,7 @@
     private Path log;
     private final List<AutoCloseable> open = new ArrayList<>();
 
-    DescriptorTest() throws IOException {
+    DescriptorLimitTest() throws IOException {
         discovery = new Peer();
         counter = new Peer();
         app = new Peer();
@@ -121,7 +121,7 @@
                 "-c",
                 "ulimit -n " + SOCKETS + " && exec '"
                         + ProcessHandle.current().info().command().orElseThrow() + "' -cp '" + path
-                        + "' willowyoke.Main serve");
+                        + "' quotagateway.Main serve");
         run.environment().put("EDGE_CONFIG", file.toString());
         run.environment()
                 .put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
--- a/src/test/java/willowyoke/net/WatchTest.java
+++ b/src/test/java/quotagateway/node/DiscoveryWatchTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,9 +8,11 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
 
 /** A watch that breaks off or stalls: what it had to tell may be a drain, and that has 250 ms. */
-class WatchTest extends NodeFixture {
+class DiscoveryWatchTest extends NodeFixture {
     /** Half a line, and no end of the connection either: 5 s passed before it was taken for dead. */
     @Test
     void halfALineThatStallsIsAskedForAnew() throws Exception {
@@ -26,9 +28,10 @@
     /** Ten nodes killed together came up one by one, as an overbooked discovery had told each its list. */
     @Test
     void aNodeThatKnowsAListListensBeforeDiscoveryAnswers() throws Exception {
-        Script script = new Script();
-        node = new Node(
-                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        NodeFixture.Script script = new NodeFixture.Script();
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
@@ -54,9 +57,10 @@
     /** What the agent has counts as told from the first moment: one quiet call at the start is waited out. */
     @Test
     void aNodeWhoseFirstCallIsQuietAsksAgainBeforeItListens() throws Exception {
-        Script script = new Script();
-        node = new Node(
-                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        NodeFixture.Script script = new NodeFixture.Script();
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
--- a/src/test/java/willowyoke/net/KeptServersTest.java
+++ b/src/test/java/quotagateway/node/EndpointConnectionsTest.java
@@ -1,16 +1,18 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
 
 /** Connections stand to the servers that the module uses, and to no others. */
-class KeptServersTest extends NodeFixture {
-    private static Gateway.Server server(String id, Peer at, Gateway.State state) {
-        return new Gateway.Server(id, 3, "a", state, "m", 0, 1, Config.dial(at.address()));
+class EndpointConnectionsTest extends NodeFixture {
+    private static EndpointDescriptor server(String id, Peer at, EndpointState state) {
+        return new EndpointDescriptor(id, 3, "a", state, "m", 0, 1, GatewayConfig.dial(at.address()));
     }
 
     @Test
@@ -23,7 +25,7 @@
         Peer.Line second = app.accept();
         assertEquals("02", second.message().get(2));
         second.value("two");
-        node.later(() -> node.release("s0"));
+        node.later(() -> node.releaseEndpoint("s0"));
         assertTrue(second.ended());
         server.value("one");
         assertEquals(List.of("one"), client.message());
@@ -34,7 +36,7 @@
         arrived(3, "read");
         expect("ended 3 0 NO_CONNECTION false");
         assertEquals(List.of("-ERR failed"), client.message());
-        node.later(() -> node.keep(server("s0", app, Gateway.State.UP)));
+        node.later(() -> node.retainEndpoint(server("s0", app, EndpointState.UP)));
         app.accept();
     }
 
@@ -44,8 +46,8 @@
         try (Peer other = new Peer();
                 Peer used = new Peer()) {
             node.later(() -> {
-                node.listed(List.of(server("s1", other, Gateway.State.DRAINING)), false);
-                node.listed(List.of(server("s2", used, Gateway.State.UP)), false);
+                node.listed(List.of(server("s1", other, EndpointState.DRAINING)), false);
+                node.listed(List.of(server("s2", used, EndpointState.UP)), false);
             });
             used.accept();
             assertEquals(null, other.poll(0));
@@ -59,7 +61,7 @@
         try (Peer other = new Peer()) {
             node.later(() -> {
                 node.listBegins();
-                node.listed(List.of(server("s1", other, Gateway.State.UP)), false);
+                node.listed(List.of(server("s1", other, EndpointState.UP)), false);
             });
             expect("changes s1 UP");
             other.accept();
@@ -71,10 +73,10 @@
             assertEquals(List.of("one"), client.message());
             node.later(() -> {
                 node.listBegins(); // the one before never ended
-                node.listed(List.of(server("s0", app, Gateway.State.UP)), false);
+                node.listed(List.of(server("s0", app, EndpointState.UP)), false);
                 node.listEnds();
                 node.listBegins();
-                node.listed(List.of(server("s1", other, Gateway.State.UP)), false);
+                node.listed(List.of(server("s1", other, EndpointState.UP)), false);
                 node.listEnds();
             });
             assertTrue(server.ended());
@@ -85,7 +87,7 @@
     @Test
     void addressesAreKeptInOneNumber() {
         for (String address : List.of("10.1.0.18:6379", "255.255.255.255:65535", "0.0.0.1:1")) {
-            assertEquals(Config.address(address), Config.address(Config.dial(address)));
+            assertEquals(GatewayConfig.address(address), GatewayConfig.address(GatewayConfig.dial(address)));
         }
     }
 }
--- a/src/test/java/willowyoke/ListMemory.java
+++ b/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.node;
 
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
@@ -22,12 +22,12 @@
  * [SERVERS] [known]}. A line of CSV a step: wall and CPU (ms) since the one before, resident memory and its
  * peak (MB).
  */
-final class ListMemory {
+final class EndpointListMemoryBenchmark {
     private static final int TICK = 10;
     private static long cpuBefore;
     private static long wallBefore = System.nanoTime();
 
-    private ListMemory() {}
+    private EndpointListMemoryBenchmark() {}
 
     public static void main(String[] args) throws Exception {
         int servers = args.length > 0 ? Integer.parseInt(args[0]) : 200_000;
@@ -83,7 +83,7 @@
                 }
             }
         }
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "willowyoke.Main", "serve"));
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "quotagateway.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
--- a/src/test/java/willowyoke/net/NodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -18,9 +18,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import quotagateway.client.ClientListener;
+import quotagateway.transport.Transport;
 
 /** Calls through the edge node: order, outcomes, lists, counter, its end. */
-class NodeTest extends NodeFixture {
+class GatewayNodeTest extends NodeFixture {
     @Test
     void aCallGoesOnUnchangedButForTheTimeLeftAndItsValueComesBack() throws Exception {
         start();
--- a/src/test/java/willowyoke/net/LargeBodyTest.java
+++ b/src/test/java/quotagateway/node/LargeRequestTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests with values above 64 KiB, which go on to an app server as they come. */
-class LargeBodyTest extends NodeFixture {
+class LargeRequestTest extends NodeFixture {
     private static final int LARGE = 4 << 20;
     private static final int FIRST = 100_000;
     private static final byte[] VALUE = new byte[LARGE];
--- a/src/test/java/willowyoke/net/LargeValueTest.java
+++ b/src/test/java/quotagateway/node/LargeResponseTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Values above 64 KiB, which are passed on as they come, and answers that come slowly. */
-class LargeValueTest extends NodeFixture {
+class LargeResponseTest extends NodeFixture {
     private static final int LARGE = 4 << 20;
     private static final int FIRST = 100_000;
 
--- a/src/test/java/willowyoke/net/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,10 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
-import willowyoke.SettingsReader;
-import willowyoke.net.LifecycleGuard.Denial;
-import willowyoke.net.LifecycleGuard.Invariant;
+import quotagateway.config.SettingsReader;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.Invariant;
+import quotagateway.lifecycle.NodeState;
+import quotagateway.lifecycle.SendDenial;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.upstream.EndpointPool;
 
 /** What the guard lets pass, and which violations it counts. */
 class LifecycleGuardTest {
@@ -27,35 +35,34 @@
                 (invariant, request) -> violations.add(invariant));
     }
 
-    private static Gateway.RequestClass type(Gateway.Effect effect, Gateway.Group group) {
-        return new Gateway.RequestClass("c", effect, group, 500, 1000, 1, 0, WINDOW, false);
+    private static RequestClass type(Idempotency effect, RetryScope group) {
+        return new RequestClass("c", effect, group, 500, 1000, 1, 0, WINDOW, false);
     }
 
-    private static Gateway.Server server(int cell, String zone) {
-        return new Gateway.Server("s" + cell, cell, zone, Gateway.State.UP, "", 0, 1, 0);
+    private static EndpointDescriptor server(int cell, String zone) {
+        return new EndpointDescriptor("s" + cell, cell, zone, EndpointState.UP, "", 0, 1, 0);
     }
 
     /** An attempt sent at 0, that has ended so; null where it is out. */
-    private static ServerPool.Attempt before(Gateway.Outcome outcome, Gateway.Server place) {
-        ServerPool.Attempt attempt = new ServerPool.Attempt(null, 0, "s", 0, place);
+    private static EndpointPool.Attempt before(CallOutcome outcome, EndpointDescriptor place) {
+        EndpointPool.Attempt attempt = new EndpointPool.Attempt(null, 0, "s", 0, place);
         attempt.outcome = outcome;
         attempt.done = outcome != null;
         return attempt;
     }
 
-    private Denial repeat(Gateway.Effect effect, Gateway.Outcome outcome, double now) {
+    private SendDenial repeat(Idempotency effect, CallOutcome outcome, double now) {
         return guard.repeat(
-                type(effect, Gateway.Group.ALL),
+                type(effect, RetryScope.ALL),
                 before(outcome, null),
-                new ServerPool.Attempt(null, 1, "t", now, null),
+                new EndpointPool.Attempt(null, 1, "t", now, null),
                 now);
     }
 
     @Test
     void whatNeverRanMayBeRepeatedWhateverItsEffect() {
-        for (Gateway.Effect effect : Gateway.Effect.values()) {
-            for (Gateway.Outcome outcome :
-                    List.of(Gateway.Outcome.NO_CONNECTION, Gateway.Outcome.FULL, Gateway.Outcome.NOT_SENT)) {
+        for (Idempotency effect : Idempotency.values()) {
+            for (CallOutcome outcome : List.of(CallOutcome.NO_CONNECTION, CallOutcome.FULL, CallOutcome.NOT_SENT)) {
                 assertNull(repeat(effect, outcome, 100), effect + " " + outcome);
             }
         }
@@ -63,65 +70,66 @@
 
     @Test
     void whatMayHaveRunIsRepeatedOnlyWhereItsEffectAllows() {
-        for (Gateway.Outcome outcome : List.of(
-                Gateway.Outcome.RESET, Gateway.Outcome.TIMEOUT, Gateway.Outcome.ERROR, Gateway.Outcome.CANCELLED)) {
-            assertNull(repeat(Gateway.Effect.SAFE, outcome, 100));
-            assertNull(repeat(Gateway.Effect.KEYED, outcome, 100));
-            assertEquals(Denial.NOT_REPEATABLE, repeat(Gateway.Effect.UNSAFE, outcome, 100));
+        for (CallOutcome outcome :
+                List.of(CallOutcome.RESET, CallOutcome.TIMEOUT, CallOutcome.ERROR, CallOutcome.CANCELLED)) {
+            assertNull(repeat(Idempotency.IDEMPOTENT, outcome, 100));
+            assertNull(repeat(Idempotency.IDEMPOTENCY_KEY, outcome, 100));
+            assertEquals(SendDenial.NOT_REPEATABLE, repeat(Idempotency.NON_IDEMPOTENT, outcome, 100));
         }
     }
 
     /** The decision may be older: a connection had to come up first, or the node was held up. */
     @Test
     void aKeyedOneIsNotRepeatedSoLateThatAHoldUpTakesItPastTheWindow() {
-        assertNull(repeat(Gateway.Effect.KEYED, Gateway.Outcome.RESET, WINDOW - 151));
-        assertEquals(Denial.WINDOW_OVER, repeat(Gateway.Effect.KEYED, Gateway.Outcome.RESET, WINDOW - 150));
+        assertNull(repeat(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW - 151));
+        assertEquals(SendDenial.WINDOW_OVER, repeat(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW - 150));
     }
 
     @Test
     void aClassThatTheSettingsLackIsNotRepeated() {
         assertEquals(
-                Denial.NOT_REPEATABLE,
+                SendDenial.NOT_REPEATABLE,
                 guard.repeat(
-                        null, before(Gateway.Outcome.RESET, null), new ServerPool.Attempt(null, 1, "t", 1, null), 1));
+                        null, before(CallOutcome.RESET, null), new EndpointPool.Attempt(null, 1, "t", 1, null), 1));
     }
 
     @Test
     void noCopyGoesOutWhereNoneIsAllowed() {
-        assertEquals(Denial.COPY_OUT, repeat(Gateway.Effect.SAFE, null, 100));
+        assertEquals(SendDenial.COPY_OUT, repeat(Idempotency.IDEMPOTENT, null, 100));
         LifecycleGuard copies = guard(true);
-        ServerPool.Attempt next = new ServerPool.Attempt(null, 1, "t", 1, null);
-        assertNull(copies.repeat(type(Gateway.Effect.SAFE, Gateway.Group.ALL), before(null, null), next, 1));
+        EndpointPool.Attempt next = new EndpointPool.Attempt(null, 1, "t", 1, null);
+        assertNull(copies.repeat(type(Idempotency.IDEMPOTENT, RetryScope.ALL), before(null, null), next, 1));
         assertEquals(
-                Denial.NOT_REPEATABLE,
-                copies.repeat(type(Gateway.Effect.UNSAFE, Gateway.Group.ALL), before(null, null), next, 1));
+                SendDenial.NOT_REPEATABLE,
+                copies.repeat(type(Idempotency.NON_IDEMPOTENT, RetryScope.ALL), before(null, null), next, 1));
     }
 
     @Test
     void aKeyedOneStaysWithTheServersThatKnowItsKey() {
-        ServerPool.Attempt first = before(Gateway.Outcome.RESET, server(1, "a"));
-        for (Gateway.Server place : new Gateway.Server[] {server(2, "a"), server(1, "a"), server(3, "b"), null}) {
-            ServerPool.Attempt next = new ServerPool.Attempt(null, 1, "t", 1, place);
+        EndpointPool.Attempt first = before(CallOutcome.RESET, server(1, "a"));
+        for (EndpointDescriptor place :
+                new EndpointDescriptor[] {server(2, "a"), server(1, "a"), server(3, "b"), null}) {
+            EndpointPool.Attempt next = new EndpointPool.Attempt(null, 1, "t", 1, place);
             boolean cell = place != null && place.cell() == 1;
             boolean zone = place != null && place.zone().equals("a");
             assertEquals(
-                    cell ? null : Denial.OTHER_GROUP,
-                    guard.repeat(type(Gateway.Effect.KEYED, Gateway.Group.CELL), first, next, 1));
+                    cell ? null : SendDenial.OTHER_GROUP,
+                    guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL), first, next, 1));
             assertEquals(
-                    zone ? null : Denial.OTHER_GROUP,
-                    guard.repeat(type(Gateway.Effect.KEYED, Gateway.Group.ZONE), first, next, 1));
-            assertNull(guard.repeat(type(Gateway.Effect.KEYED, Gateway.Group.ALL), first, next, 1));
+                    zone ? null : SendDenial.OTHER_GROUP,
+                    guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE), first, next, 1));
+            assertNull(guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL), first, next, 1));
         }
     }
 
     @Test
     void statesHaveAnOrder() {
         assertTrue(guard.mayListen());
-        assertTrue(guard.enter(Phase.DRAINING));
-        assertFalse(guard.enter(Phase.SERVING));
-        assertFalse(guard.enter(Phase.DRAINING));
+        assertTrue(guard.enter(NodeState.DRAINING));
+        assertFalse(guard.enter(NodeState.SERVING));
+        assertFalse(guard.enter(NodeState.DRAINING));
         assertFalse(guard.mayListen());
-        assertTrue(guard.enter(Phase.ENDED));
+        assertTrue(guard.enter(NodeState.ENDED));
         assertTrue(guard.hasEnded());
         assertEquals(List.of(), violations);
     }
@@ -148,7 +156,7 @@
         assertTrue(guard.mayClose(CloseReason.VALUE_BROKEN_OFF, 2));
         assertFalse(guard.mayClose(CloseReason.SHUTDOWN_IDLE, 1));
         guard.taking("01");
-        guard.enter(Phase.ENDED);
+        guard.enter(NodeState.ENDED);
         guard.taking("02");
         assertEquals(
                 List.of(
--- a/src/test/java/willowyoke/net/SpoiltTest.java
+++ b/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers of app servers and of the counter that are spoilt, or bring more than belongs to them. */
-class SpoiltTest extends NodeFixture {
+class MalformedPeerResponseTest extends NodeFixture {
     private Peer.Line next(Peer.Line client, int id) throws Exception {
         get(client, "0" + id, "read", 5000);
         arrived(id, "read");
--- a/src/test/java/willowyoke/net/MetricsTest.java
+++ b/src/test/java/quotagateway/node/MetricsTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
+import quotagateway.admin.Metrics;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
 
 /** The figures as a scrape gets them. */
 class MetricsTest extends NodeFixture {
@@ -33,8 +40,8 @@
 
     @Test
     void allStandsThereFromTheStartAtNought() {
-        Metrics metrics = new Metrics(List.of(
-                new Gateway.RequestClass("a\"b\\", Gateway.Effect.SAFE, Gateway.Group.ALL, 1, 1, 1, 0, 0, false)));
+        Metrics metrics = new Metrics(
+                List.of(new RequestClass("a\"b\\", Idempotency.IDEMPOTENT, RetryScope.ALL, 1, 1, 1, 0, 0, false)));
         assertEquals("""
             # HELP edge_edge_operations_total Requests ended, by class and outcome.
             # TYPE edge_edge_operations_total counter
@@ -54,7 +61,7 @@
             # TYPE edge_edge_out_of_rotation gauge
             edge_edge_out_of_rotation 9
             """, metrics.text(7, 8, 9));
-        metrics.ended("no class of the settings", Metrics.Outcome.FAULTED);
+        metrics.ended("no class of the settings", RequestOutcome.FAULTED);
         assertEquals(
                 0,
                 samples(metrics.text(0, 0, 0)).values().stream()
@@ -107,11 +114,11 @@
     @Test
     void refusalsRetriesAndClosesAreCountedByReason() {
         Metrics metrics = new Metrics(List.of());
-        metrics.unserved(Metrics.Outcome.THROTTLED, Gateway.EndReason.QUOTA_SHORT);
-        metrics.unserved(Metrics.Outcome.FAULTED, Gateway.EndReason.DEADLINE);
-        metrics.unserved(Metrics.Outcome.FAULTED, Gateway.EndReason.DEADLINE);
-        metrics.unserved(Metrics.Outcome.FAULTED, null);
-        metrics.retried(Gateway.Outcome.RESET);
+        metrics.unserved(RequestOutcome.THROTTLED, FailureReason.QUOTA_SHORT);
+        metrics.unserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
+        metrics.unserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
+        metrics.unserved(RequestOutcome.FAULTED, null);
+        metrics.retried(CallOutcome.RESET);
         metrics.clientClosed(CloseReason.SHUTDOWN_IDLE);
         metrics.serverClosed(CloseReason.RETIRED);
         Map<String, Long> samples = samples(metrics.text(0, 0, 0));
--- a/src/test/java/willowyoke/net/BadClientTest.java
+++ b/src/test/java/quotagateway/node/MisbehavingClientTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Clients that send what cannot be read, say nothing, do not read, or come by hundreds. */
-class BadClientTest extends NodeFixture {
+class MisbehavingClientTest extends NodeFixture {
     /** Guards against crashes, hangs and unbounded buffers: -ERR, and a broken frame also closes. */
     @Test
     void malformedInputGetsAnError() throws Exception {
--- a/src/test/java/willowyoke/net/NodeFixture.java
+++ b/src/test/java/quotagateway/node/NodeFixture.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,44 +18,51 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
 
 /** A real edge node between peers on loopback sockets, with a scripted module for the decisions. */
 @Timeout(30)
-abstract class NodeFixture {
+public abstract class NodeFixture {
     static final String CUSTOMER = "00000000b4d65521";
 
     /** Notes what it is told and acts by the class of a request: most go to server s0. */
-    final class Script implements Gateway.Events {
-        Gateway.Actions act;
+    final class Script implements PolicyEvents {
+        PolicyActions act;
         private Set<String> cordoned = Set.of();
         private int listed;
 
         @Override
-        public void servers(double now, List<Gateway.Server> list, boolean whole) {
+        public void onEndpoints(double now, List<EndpointDescriptor> list, boolean whole) {
             StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
             list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
             told.add(text.toString());
             if (whole) {
                 listed = list.size();
             }
-            list.stream().filter(s -> s.state() == Gateway.State.UP).forEach(act::keep);
+            list.stream().filter(s -> s.state() == EndpointState.UP).forEach(act::retainEndpoint);
         }
 
         @Override
-        public int listed() {
+        public int endpointCount() {
             return listed;
         }
 
         @Override
-        public boolean cordon(double now, String server, boolean out) {
+        public boolean setCordoned(double now, String server, boolean out) {
             told.add((out ? "cordon " : "uncordon ") + server);
-            act.withdraw(server);
+            act.withdrawQueuedAttempts(server);
             return server.equals("s0");
         }
 
         @Override
-        public void cordons(double now, Set<String> servers) {
+        public void replaceCordons(double now, Set<String> servers) {
             if (!servers.equals(cordoned)) { // the first telling is of none, as a rule
                 cordoned = servers;
                 told.add("cordons " + servers);
@@ -63,49 +70,49 @@
         }
 
         @Override
-        public void discoveryFailed(double now) {
+        public void onDiscoveryFailed(double now) {
             if (tellSilence) {
                 told.add("discovery failed");
             }
         }
 
         @Override
-        public void arrived(double now, Gateway.Request r) {
-            told.add("arrived " + r.id() + " " + r.type() + " " + r.plan() + " " + r.customer() + " "
+        public void onRequest(double now, IncomingRequest r) {
+            told.add("arrived " + r.id() + " " + r.requestClass() + " " + r.plan() + " " + r.customer() + " "
                     + r.units()
-                    + " " + r.spread() + " " + r.first() + " " + r.again());
-            switch (r.type()) {
-                case "refuse" -> act.refuse(r.id(), 1500);
+                    + " " + r.gatewayCount() + " " + r.firstGateway() + " " + r.retry());
+            switch (r.requestClass()) {
+                case "refuse" -> act.reject(r.id(), 1500);
                 case "fail" -> act.fail(r.id());
                 case "throw" -> throw new IllegalStateException("on purpose");
                 case "hold" -> {}
                 case "stall" -> stall.acquireUninterruptibly(); // the loop sees nothing meanwhile
                 case "drop" -> { // over before the connection for it is up
-                    act.send(r.id(), "s0", 0);
-                    act.refuse(r.id(), 0);
+                    act.sendAttempt(r.id(), "s0", 0);
+                    act.reject(r.id(), 0);
                 }
                 case "count" -> {
-                    act.count(77, -2.5, 4000);
-                    act.count(77, 1, 4000);
+                    act.addToCounter(77, -2.5, 4000);
+                    act.addToCounter(77, 1, 4000);
                 }
-                case "probe" -> act.probe("s0");
+                case "probe" -> act.checkHealth("s0");
                 case "cancel" -> {
-                    act.send(r.id(), "s0", 0);
-                    act.timer(300, r.id());
+                    act.sendAttempt(r.id(), "s0", 0);
+                    act.scheduleTimer(300, r.id());
                 }
-                default -> act.send(r.id(), "s0", 0);
+                default -> act.sendAttempt(r.id(), "s0", 0);
             }
         }
 
         @Override
-        public void firstAnswer(double now, long id, int attempt) {}
+        public void onResponseStarted(double now, long id, int attempt) {}
 
         @Override
-        public void ended(
+        public void onAttemptEnded(
                 double now,
                 long id,
                 int attempt,
-                Gateway.Outcome outcome,
+                CallOutcome outcome,
                 double took,
                 boolean over,
                 int trueUnits,
@@ -117,28 +124,28 @@
         }
 
         @Override
-        public void gone(double now, long id) {
+        public void onClientDisconnected(double now, long id) {
             told.add("gone " + id);
             if (id == sendAfter) {
-                act.send(id + 1, "s0", 0);
+                act.sendAttempt(id + 1, "s0", 0);
             }
         }
 
         @Override
-        public void timer(double now, long token) {
+        public void onTimer(double now, long token) {
             if (failTimers-- > 0) {
                 throw new IllegalStateException("timer on purpose");
             }
-            act.cancel(token, 0);
+            act.cancelAttempt(token, 0);
         }
 
         @Override
-        public void probed(double now, String server, Gateway.Outcome outcome, double took, double[] load) {
+        public void onHealthCheck(double now, String server, CallOutcome outcome, double took, double[] load) {
             told.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
         }
 
         @Override
-        public void counted(double now, long name, Gateway.Outcome outcome, double took, double total) {
+        public void onCounterReply(double now, long name, CallOutcome outcome, double took, double total) {
             told.add("counted " + name + " " + outcome + " " + total);
         }
     }
@@ -154,7 +161,7 @@
     Peer counter;
     Peer.Line watch;
     Peer.Line server;
-    Node node;
+    GatewayNode node;
     boolean drained;
     int sockets = 256;
     int listen;
@@ -166,13 +173,13 @@
 
     final Semaphore stall = new Semaphore(0);
 
-    static String entry(String id, String dial, String health) {
+    public static String entry(String id, String dial, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + dial
                 + "\",\"site\":\"a\",\"class\":\"m\",\"block\":3,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    static String list(int seq, boolean whole, String... entries) {
+    public static String list(int seq, boolean whole, String... entries) {
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}";
     }
 
@@ -221,10 +228,10 @@
     /** Starts, and expects what the module is told before and with the list known at the start. */
     void start(String... before) throws Exception {
         Script script = new Script();
-        Config config = Config.of(Json.read(config()), Map.of("TMPDIR", state.toString()));
-        node = new Node(config, (settings, seed, now, actions) -> {
+        GatewayConfig config = GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString()));
+        node = new GatewayNode(config, (settings, seed, now, actions) -> {
             script.act = actions;
-            assertEquals(4, settings.nodes());
+            assertEquals(4, settings.nodeCount());
             assertEquals(List.of("utilization", "outstanding"), settings.loadFields());
             return script;
         });
@@ -262,7 +269,7 @@
     }
 
     /** A call at the operators' door of this node; its status, and what came with it. */
-    static List<String> admin(Node at, String method, String path) throws IOException {
+    static List<String> admin(GatewayNode at, String method, String path) throws IOException {
         try (Peer.Line line = Peer.Line.to(((InetSocketAddress) at.control()).getPort())) {
             line.write(method + " " + path + " HTTP/1.1\r\nHost: edge\r\n\r\n");
             return answer(line);
--- a/src/test/java/willowyoke/net/Peer.java
+++ b/src/test/java/quotagateway/node/Peer.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/src/test/java/willowyoke/net/HandoverTest.java
+++ b/src/test/java/quotagateway/node/ProcessHandoverTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A second process of the same edge node comes up beside the first, and takes its place. */
-class HandoverTest extends NodeFixture {
+class ProcessHandoverTest extends NodeFixture {
     /** The second could not bind; the first ended connections with requests on them. */
     @Test
     void theNewOneTakesClientsWhileTheOldOneFinishes() throws Exception {
         start();
-        Node old = node;
+        GatewayNode old = node;
         Peer.Line before = client();
         get(before, "01", "read", 5000);
         arrived(1, "read");
@@ -53,17 +53,17 @@
     @Test
     void aProcessKnowsWhetherAnotherHasTakenItsPlace() throws Exception {
         Path folder = state;
-        Handover first = new Handover(folder, "n0");
+        ProcessHandover first = new ProcessHandover(folder, "n0");
         assertFalse(first.succeeded(), "no file yet");
         assertFalse(first.beside());
         first.claim();
-        assertTrue(new Handover(folder, "n0").beside());
+        assertTrue(new ProcessHandover(folder, "n0").beside());
         assertFalse(first.succeeded());
-        Handover second = new Handover(folder, "n0");
+        ProcessHandover second = new ProcessHandover(folder, "n0");
         second.claim();
         assertTrue(first.succeeded());
         assertFalse(second.succeeded());
-        assertFalse(new Handover(folder.resolve("none"), "n0").succeeded(), "no such folder");
+        assertFalse(new ProcessHandover(folder.resolve("none"), "n0").succeeded(), "no such folder");
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count(), "nothing half written is left");
         }
@@ -73,7 +73,7 @@
     @Test
     void theNewOneTakesFewClientsAtFirst() throws Exception {
         sockets = 40;
-        new Handover(state, "n0").claim();
+        new ProcessHandover(state, "n0").claim();
         start();
         Peer.Line first = client();
         first.command("PING");
--- a/src/test/java/willowyoke/net/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,6 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.discovery.DiscoveryClientTest;
+import quotagateway.startup.JitWarmup;
+import quotagateway.startup.Readiness;
 
 /** A node that starts again is ready in time, whoever is silent: the others carry its load until then. */
 class ReadinessTest extends NodeFixture {
@@ -23,7 +28,7 @@
 
     /** The time (ms) of a start from the program's first line, with those that never come up by bits. */
     private static double ready(double spent, boolean known, int never) {
-        DiscoveryTest.World clock = new DiscoveryTest.World(false);
+        DiscoveryClientTest.World clock = new DiscoveryClientTest.World(false);
         CompletableFuture<?>[] parts = new CompletableFuture<?>[3];
         for (int i = 0; i < 3; i++) {
             CompletableFuture<Void> part = new CompletableFuture<>();
@@ -58,7 +63,7 @@
                 assertTrue(ready(spent, false, never) <= Math.max(5000, spent + 800));
             }
         }
-        assertTrue(Warmup.MOST_TIME + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
+        assertTrue(JitWarmup.MOST_TIME + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
     }
 
     /** Counter and app servers take connections and say nothing, and discovery may do the same. */
@@ -77,9 +82,10 @@
             agent.setDaemon(true);
             agent.start();
         }
-        Script script = new Script();
-        node = new Node(
-                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        NodeFixture.Script script = new NodeFixture.Script();
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
@@ -93,10 +99,11 @@
     /** A list from before that cannot be taken is no reason to wait for anything, or not to start. */
     @Test
     void aSpoiltListFromBeforeIsNoReasonNotToStart() throws Exception {
-        Script script = new Script();
+        NodeFixture.Script script = new NodeFixture.Script();
         String text = config().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
-        node = new Node(
-                Config.of(Json.read(text), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(text), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
--- a/src/test/java/willowyoke/HangupTest.java
+++ b/src/test/java/quotagateway/node/ReloadSignalTest.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A new configuration that is told of while the node comes up was never read. */
-class HangupTest {
+class ReloadSignalTest {
     @Test
     void aSignalDuringTheStartIsHeardOnceThereIsANode() {
-        Hangup hangup = new Hangup();
+        ReloadSignal hangup = new ReloadSignal();
         AtomicInteger told = new AtomicInteger();
         hangup.came();
         hangup.came();
@@ -22,7 +22,7 @@
     @Test
     void withoutASignalNothingIsRun() {
         AtomicInteger told = new AtomicInteger();
-        new Hangup().to(told::incrementAndGet);
+        new ReloadSignal().to(told::incrementAndGet);
         assertEquals(0, told.get());
     }
 }
--- a/src/test/java/willowyoke/net/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,14 +11,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
 
 /** SIGHUP and new configurations while the edge node runs. */
 class ReloadTest extends NodeFixture {
     @TempDir
     Path folder;
 
-    private Config moved(Peer toDiscovery, Peer toCounter) throws IOException {
-        return Config.of(
+    private GatewayConfig moved(Peer toDiscovery, Peer toCounter) throws IOException {
+        return GatewayConfig.of(
                 Json.read(config().replace(discovery.address(), toDiscovery.address())
                         .replace(counter.address(), toCounter.address())),
                 Map.of());
@@ -51,9 +53,10 @@
     /** The signal may come as the node comes up, with the file read before it was replaced. */
     @Test
     void discoveryMovesBeforeTheNodeIsUp() throws Exception {
-        Script script = new Script();
-        node = new Node(
-                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        NodeFixture.Script script = new NodeFixture.Script();
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
@@ -114,9 +117,9 @@
     void aFileThatCannotBeReadIsLeftAlone() throws Exception {
         start();
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        node.reload(() -> Config.again(Map.of("EDGE_CONFIG", file.toString())));
-        node.reload(
-                () -> Config.again(Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
+        node.reload(() -> GatewayConfig.again(Map.of("EDGE_CONFIG", file.toString())));
+        node.reload(() ->
+                GatewayConfig.again(Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
         push(list(42, false, entry("s0", app.address(), "leaving")));
         expect("changes s0 DRAINING");
     }
@@ -128,8 +131,8 @@
         Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
         assertEquals(
                 "127.0.0.9:1",
-                Config.fromEnvironment(env).discovery().toString().substring(1));
-        assertEquals(discovery.port(), Config.again(env).discovery().getPort());
+                GatewayConfig.fromEnvironment(env).discovery().toString().substring(1));
+        assertEquals(discovery.port(), GatewayConfig.again(env).discovery().getPort());
     }
 
     /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
@@ -140,7 +143,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                "willowyoke.Main",
+                "quotagateway.Main",
                 "serve");
         start.environment().put("EDGE_CONFIG", file.toString());
         start.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
--- a/src/test/java/willowyoke/net/EndTest.java
+++ b/src/test/java/quotagateway/node/RequestEndTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -21,9 +21,11 @@
 import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
 
 /** What is owed when a request, a connection or the process ends at a rare moment. */
-class EndTest extends NodeFixture {
+class RequestEndTest extends NodeFixture {
     /** More than the sockets' buffers hold. */
     private static final int CALLS = 110;
 
@@ -87,9 +89,10 @@
         try (ServerSocket free = new ServerSocket(0)) {
             listen = free.getLocalPort();
         }
-        Script script = new Script();
-        node = new Node(
-                Config.of(Json.read(config()), Map.of("TMPDIR", state.toString())), (settings, seed, now, actions) -> {
+        NodeFixture.Script script = new NodeFixture.Script();
+        node = new GatewayNode(
+                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
+                (settings, seed, now, actions) -> {
                     script.act = actions;
                     return script;
                 });
@@ -110,7 +113,7 @@
     @Test
     void whoHasConnectedIsAnsweredThoughTheLoopIsLate() throws Exception {
         start();
-        new Handover(state, "n0").claim(); // the end begins at once
+        new ProcessHandover(state, "n0").claim(); // the end begins at once
         Peer.Line first = client();
         Peer.Line second = client();
         second.command("PING");
@@ -162,7 +165,7 @@
     }
 
     private Thread drainBesideANewProcess() {
-        new Handover(state, "n0").claim(); // connections end behind their next answer from the signal on
+        new ProcessHandover(state, "n0").claim(); // connections end behind their next answer from the signal on
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
--- a/src/test/java/willowyoke/net/ShutdownProcessTest.java
+++ b/src/test/java/quotagateway/node/ShutdownProcessTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowyoke.scale.soak.FaultProxy;
-import willowyoke.scale.soak.NodeProcess;
+import quotagateway.scale.soak.FaultProxy;
+import quotagateway.scale.soak.NodeProcess;
 
 /**
  * A planned restart of a real process, with its real signals: SIGTERM, and SIGKILL at the earliest time that
@@ -88,7 +88,7 @@
                 "-Xmx64m",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "willowyoke.Main",
+                "quotagateway.Main",
                 "serve");
         node = NodeProcess.start(
                 command,
--- a/src/test/java/willowyoke/SetBench.java
+++ b/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
@@ -1,18 +1,24 @@
-package willowyoke;
+package quotagateway.policy;
 
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicyEvents;
 
 /**
  * Not a test: the module alone on a fake clock, before lists of several lengths. Prints CPU a request and a
  * list change (us) and what the module holds in memory (MB).
  * {@code java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp target/classes:target/test-classes
- * willowyoke.SetBench}
+ * quotagateway.policy.EndpointSubsetBenchmark}
  */
-final class SetBench implements Gateway.Actions {
+final class EndpointSubsetBenchmark implements PolicyActions {
     private static final int NODES = 8200;
     /** 1.5 million requests a second over the nodes. */
     private static final double RATE = 183;
@@ -26,23 +32,23 @@
     private final Random random = new Random(1);
     private double now = 1000;
     private long sent;
-    private Gateway.Events module;
+    private PolicyEvents module;
 
     public static void main(String[] args) {
         System.out.println("listed  us/request  us/change  MB  sent/asked");
         for (int listed : new int[] {20, 200, 2000, 20_000, 200_000}) {
             if (args.length == 0 || Integer.parseInt(args[0]) >= listed) {
-                new SetBench().run(listed);
+                new EndpointSubsetBenchmark().run(listed);
             }
         }
     }
 
-    private static Gateway.Server server(int i, double startedAt) {
-        return new Gateway.Server(
+    private static EndpointDescriptor server(int i, double startedAt) {
+        return new EndpointDescriptor(
                 "s-" + Integer.toHexString(0x10000000 + i * 0x9e3779b),
                 i / 40,
                 new String("zone-" + i / 40 % 18),
-                Gateway.State.UP,
+                EndpointState.UP,
                 new String("m2"),
                 startedAt,
                 1,
@@ -61,19 +67,19 @@
     }
 
     private void run(int listed) {
-        Bench b = new Bench();
+        PolicyHarness b = new PolicyHarness();
         b.nodes = NODES;
         b.me = 17;
         b.counter = false;
         double before = memory();
-        module = new Decide(b.settings(), 1, now, this);
+        module = new Policy(b.settings(), 1, now, this);
         for (int part = 0; part < listed; part += 1000) {
-            List<Gateway.Server> list = new ArrayList<>();
+            List<EndpointDescriptor> list = new ArrayList<>();
             for (int i = part; i < Math.min(listed, part + 1000); i++) {
                 list.add(server(i, 0));
             }
             begin(part == 0);
-            module.servers(now, list, false);
+            module.onEndpoints(now, list, false);
         }
         end();
         double memory = memory() - before;
@@ -86,16 +92,16 @@
             }
             asked += now >= WARM ? 1 : 0;
             to(at);
-            module.arrived(
+            module.onRequest(
                     now,
-                    new Gateway.Request(
+                    new IncomingRequest(
                             (long) (at * 1e3), "read", "big", "c" + random.nextInt(3000), 2000, 1, 2, 0, false));
         }
         double request = (cpu() - from) / asked;
         from = cpu();
         for (int i = 0; i < CHANGES; i++) {
             now += 1;
-            module.servers(now, List.of(server(random.nextInt(listed), i % 2 == 0 ? 0 : 1)), false);
+            module.onEndpoints(now, List.of(server(random.nextInt(listed), i % 2 == 0 ? 0 : 1)), false);
         }
         System.out.printf(
                 "%6d  %9.1f  %9.1f  %6.2f  %d/%d%n", listed, request, (cpu() - from) / CHANGES, memory, sent, asked);
@@ -114,7 +120,7 @@
 
     private void call(String event) {
         try {
-            Gateway.Events.class.getMethod(event, double.class).invoke(module, now);
+            PolicyEvents.class.getMethod(event, double.class).invoke(module, now);
         } catch (NoSuchMethodException e) {
             return;
         } catch (ReflectiveOperationException e) {
@@ -132,42 +138,42 @@
             now = Math.max(now, Math.min(timer, end));
             if (timer <= end) {
                 timers.poll();
-                module.timer(now, 0);
+                module.onTimer(now, 0);
             } else {
                 double[] a = ends.poll();
-                module.ended(now, (long) a[1], 0, Gateway.Outcome.OK, a[2], true, 0, new double[0]);
+                module.onAttemptEnded(now, (long) a[1], 0, CallOutcome.OK, a[2], true, 0, new double[0]);
             }
         }
         now = time;
     }
 
     @Override
-    public void send(long id, String server, double until) {
+    public void sendAttempt(long id, String server, double until) {
         double took = 10 + 40 * random.nextDouble();
         sent++;
         ends.add(new double[] {now + took, id, took});
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         timers.add(now + delay);
     }
 
     @Override
-    public void cancel(long id, int attempt) {}
+    public void cancelAttempt(long id, int attempt) {}
 
     @Override
-    public void refuse(long id, double retryAfter) {}
+    public void reject(long id, double retryAfter) {}
 
     @Override
     public void fail(long id) {}
 
     @Override
-    public void probe(String server) {}
+    public void checkHealth(String server) {}
 
     @Override
-    public void count(long name, double amount, double keepFor) {}
+    public void addToCounter(long name, double amount, double keepFor) {}
 
     @Override
-    public void subscribe() {}
+    public void subscribeToEndpoints() {}
 }
--- a/src/test/java/willowyoke/Bench.java
+++ b/src/test/java/quotagateway/policy/PolicyHarness.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,22 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.Capabilities;
+import quotagateway.policy.api.CostWeights;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.policy.api.ServiceRules;
 
 /** A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on demand. */
-final class Bench implements Gateway.Actions {
+final class PolicyHarness implements PolicyActions {
     final List<String> log = new ArrayList<>();
     final List<double[]> timers = new ArrayList<>();
     final List<long[]> calls = new ArrayList<>();
@@ -23,18 +36,18 @@
     private double otherUnits;
     private double othersAt;
     double now;
-    Decide module;
-    List<Gateway.RequestClass> classes = List.of(
-            new Gateway.RequestClass("read", Gateway.Effect.SAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false),
-            new Gateway.RequestClass("all", Gateway.Effect.KEYED, Gateway.Group.ALL, 600, 2000, 1, 0, 400, false),
-            new Gateway.RequestClass("zone", Gateway.Effect.KEYED, Gateway.Group.ZONE, 600, 2000, 1, 0, 5000, false),
-            new Gateway.RequestClass("cell", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 2000, 1, 0, 5000, false),
-            new Gateway.RequestClass("once", Gateway.Effect.UNSAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false));
-    List<Gateway.Plan> plans = List.of(
-            new Gateway.Plan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
-            new Gateway.Plan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
-            new Gateway.Plan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
-            new Gateway.Plan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
+    Policy module;
+    List<RequestClass> classes = List.of(
+            new RequestClass("read", Idempotency.IDEMPOTENT, RetryScope.CELL, 600, 2000, 1, 0, 0, false),
+            new RequestClass("all", Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL, 600, 2000, 1, 0, 400, false),
+            new RequestClass("zone", Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE, 600, 2000, 1, 0, 5000, false),
+            new RequestClass("cell", Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 600, 2000, 1, 0, 5000, false),
+            new RequestClass("once", Idempotency.NON_IDEMPOTENT, RetryScope.CELL, 600, 2000, 1, 0, 0, false));
+    List<QuotaPlan> plans = List.of(
+            new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
+            new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
+            new QuotaPlan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
+            new QuotaPlan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
     boolean copies = true;
     boolean counter = true;
     boolean settled;
@@ -42,19 +55,19 @@
     int mostUnits = 1;
 
     /** Without a counter: the even part is there at once, so that a test of servers need not mind quotas. */
-    static Bench plain() {
-        Bench b = new Bench();
+    static PolicyHarness plain() {
+        PolicyHarness b = new PolicyHarness();
         b.counter = false;
         return b;
     }
 
-    Bench start() {
-        module = new Decide(settings(), seed, now, this);
+    PolicyHarness start() {
+        module = new Policy(settings(), seed, now, this);
         return this;
     }
 
-    Gateway.Settings settings() {
-        return new Gateway.Settings(
+    PolicySettings settings() {
+        return new PolicySettings(
                 me,
                 nodes,
                 "a",
@@ -65,23 +78,23 @@
                 List.of(),
                 classes,
                 plans,
-                new Gateway.Allowed(true, true, copies, true, false, counter, 5, 2000, 50),
-                new Gateway.Rules(16, 250, 0.2, 15000, 2, 2000),
-                new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+                new Capabilities(true, true, copies, true, false, counter, 5, 2000, 50),
+                new ServiceRules(16, 250, 0.2, 15000, 2, 2000),
+                new CostWeights(0.05, 0.01, 0.02, 0, 0.03));
     }
 
     /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
-    Bench servers(int n) {
-        List<Gateway.Server> list = new ArrayList<>();
+    PolicyHarness servers(int n) {
+        List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            list.add(server(i, Gateway.State.UP, 0));
+            list.add(server(i, EndpointState.UP, 0));
         }
-        module.servers(now, list, true);
+        module.onEndpoints(now, list, true);
         return this;
     }
 
-    static Gateway.Server server(int i, Gateway.State state, double startedAt) {
-        return new Gateway.Server("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1, 0);
+    static EndpointDescriptor server(int i, EndpointState state, double startedAt) {
+        return new EndpointDescriptor("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1, 0);
     }
 
     /** Other gateways add to every name, at this rate since the last time. */
@@ -97,9 +110,9 @@
     }
 
     /** Answers the calls made so far, with the totals that stood when they were made. */
-    void answerCounter(Gateway.Outcome outcome) {
+    void answerCounter(CallOutcome outcome) {
         for (int n = calls.size(); n > 0; n--) {
-            module.counted(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
+            module.onCounterReply(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
         }
     }
 
@@ -108,11 +121,11 @@
     }
 
     void arrive(long id, String type, String plan, String customer, int units, int spread) {
-        module.arrived(now, new Gateway.Request(id, type, plan, customer, 2000, units, spread, 0, false));
+        module.onRequest(now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
     }
 
-    void end(long id, int attempt, Gateway.Outcome outcome) {
-        module.ended(now, id, attempt, outcome, 20, outcome == Gateway.Outcome.OK, 0, new double[0]);
+    void end(long id, int attempt, CallOutcome outcome) {
+        module.onAttemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
     }
 
     /** Advances the clock, firing the timers that fall due. */
@@ -129,12 +142,12 @@
             }
             timers.remove(next);
             now = Math.max(now, next[0]);
-            module.timer(now, (long) next[1]);
+            module.onTimer(now, (long) next[1]);
         }
         now = time;
     }
 
-    long count(String prefix) {
+    long addToCounter(String prefix) {
         return log.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
@@ -150,17 +163,17 @@
     }
 
     @Override
-    public void send(long id, String server, double until) {
+    public void sendAttempt(long id, String server, double until) {
         log.add("send " + id + " " + server);
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         log.add("cancel " + id + " " + attempt);
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
+    public void reject(long id, double retryAfter) {
         log.add("refuse " + id);
     }
 
@@ -170,40 +183,40 @@
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         timers.add(new double[] {now + delay, token});
     }
 
     @Override
-    public void probe(String server) {
+    public void checkHealth(String server) {
         log.add("probe " + server);
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
         log.add("count " + amount);
         calls.add(new long[] {name});
         totals.add(sums.merge(name, amount, Double::sum));
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToEndpoints() {
         log.add("subscribe");
     }
 
     @Override
-    public void withdraw(String server) {
+    public void withdrawQueuedAttempts(String server) {
         log.add("withdraw " + server);
     }
 
     @Override
-    public void keep(Gateway.Server server) {
+    public void retainEndpoint(EndpointDescriptor server) {
         log.add("keep " + server.id());
         kept.add(server.id());
     }
 
     @Override
-    public void release(String server) {
+    public void releaseEndpoint(String server) {
         log.add("release " + server);
         kept.remove(server);
     }
--- a/src/test/java/willowyoke/QuotaTest.java
+++ b/src/test/java/quotagateway/policy/QuotaTest.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,13 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.QuotaPlan;
 
 /** The plan "rate": 8 units a second, burst 8, so D = 2 a subperiod. */
 class QuotaTest {
-    private static final Gateway.Outcome OK = Gateway.Outcome.OK;
+    private static final CallOutcome OK = CallOutcome.OK;
 
     /** Sends a second in the last 4 s of 12 s of far too many requests; others add as told in between. */
-    private static double rate(Bench b, Gateway.Outcome outcome, double othersPerSecond) {
+    private static double rate(PolicyHarness b, CallOutcome outcome, double othersPerSecond) {
         b.start().servers(8);
         long before = 0;
         for (int i = 0; i < 600; i++) {
@@ -22,7 +25,7 @@
             b.others(othersPerSecond);
             b.answerCounter(outcome);
             if (i == 400) {
-                before = b.count("send");
+                before = b.addToCounter("send");
             }
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(outcome);
@@ -30,101 +33,101 @@
                 b.end(k, 0, OK);
             }
         }
-        return (b.count("send") - before) / 4.0;
+        return (b.addToCounter("send") - before) / 4.0;
     }
 
     @Test
     void aFirstRequestIsClaimedAtOnceAndHeldUntilTheTotalIsKnown() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         b.arrive(1, "read", "rate", "c");
-        assertEquals(0, b.count("send"), "no part has been given yet");
-        assertEquals(1, b.count("count 1.0"), "its weight");
+        assertEquals(0, b.addToCounter("send"), "no part has been given yet");
+        assertEquals(1, b.addToCounter("count 1.0"), "its weight");
         b.answerCounter(OK);
-        assertEquals(1, b.count("send 1"));
+        assertEquals(1, b.addToCounter("send 1"));
     }
 
     @Test
     void whatTheStoreDoesNotCoverWaitsForTheRate() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
         }
         b.answerCounter(OK);
         b.answerCounter(OK);
-        assertEquals(8, b.count("send"), "the burst of 8");
-        long before = b.count("send");
+        assertEquals(8, b.addToCounter("send"), "the burst of 8");
+        long before = b.addToCounter("send");
         b.to(260);
-        assertTrue(b.count("send") - before >= 1 && b.count("send") - before <= 3, "D = 2 a subperiod");
+        assertTrue(b.addToCounter("send") - before >= 1 && b.addToCounter("send") - before <= 3, "D = 2 a subperiod");
     }
 
     /** All that is held was added, and most of it taken off again: two calls where none had been of use. */
     @Test
     void noMoreIsClaimedThanTheLastReadingLeaves() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
         }
         b.answerCounter(OK);
-        assertEquals(1, b.count("count 10.0"), "7 in the store and what comes until they are of no use");
+        assertEquals(1, b.addToCounter("count 10.0"), "7 in the store and what comes until they are of no use");
         b.answerCounter(OK);
         b.to(440);
-        assertEquals(0, b.count("count -"), "nothing to give back: " + b.log);
+        assertEquals(0, b.addToCounter("count -"), "nothing to give back: " + b.log);
     }
 
     @Test
     void whatOthersTookMeanwhileIsGivenBack() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
         }
         b.othersTook(4);
         b.answerCounter(OK);
         b.answerCounter(OK);
-        assertEquals(4, b.count("send"), "what is left of the burst");
-        assertEquals(1, b.count("count -4.0"), b.log.toString());
+        assertEquals(4, b.addToCounter("send"), "what is left of the burst");
+        assertEquals(1, b.addToCounter("count -4.0"), b.log.toString());
     }
 
     @Test
     void aloneItTakesTheWholeQuota() {
-        assertEquals(8, rate(new Bench(), OK, 0), 0.8);
+        assertEquals(8, rate(new PolicyHarness(), OK, 0), 0.8);
     }
 
     @Test
     void whatOthersTookIsLeftOut() {
-        assertEquals(2, rate(new Bench(), OK, 6), 0.9);
+        assertEquals(2, rate(new PolicyHarness(), OK, 6), 0.9);
     }
 
     @Test
     void aCounterThatNeverAnswersMeansNoMoreThanTheEvenPart() {
-        double rate = rate(new Bench(), Gateway.Outcome.NO_CONNECTION, 0);
+        double rate = rate(new PolicyHarness(), CallOutcome.NO_CONNECTION, 0);
         assertTrue(rate > 2 && rate < 5, "even part 4: " + rate);
     }
 
     /** A connection to the counter that breaks is no crowding: slowing down for it refused nine in ten. */
     @Test
     void brokenCounterConnectionsDoNotSlowTheCalls() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 200; i++) {
             b.to(i * 250);
             b.arrive(2 * i, "read", "rate", "x" + i);
-            b.answerCounter(Gateway.Outcome.RESET);
+            b.answerCounter(CallOutcome.RESET);
             b.arrive(2 * i + 1, "read", "rate", "y" + i);
             b.answerCounter(OK);
         }
         b.to(51_000);
         b.answerCounter(OK);
-        long before = b.count("count 1.0");
+        long before = b.addToCounter("count 1.0");
         for (int i = 1000; i < 1060; i++) {
             b.arrive(i, "read", "rate", "z" + i);
         }
-        assertTrue(b.count("count 1.0") - before >= 7, "calls: " + (b.count("count 1.0") - before));
+        assertTrue(b.addToCounter("count 1.0") - before >= 7, "calls: " + (b.addToCounter("count 1.0") - before));
     }
 
     /** A give-back that was turned away was added once more in place of taken off with the next call. */
     @Test
     void aGiveBackThatWasTurnedAwayIsMadeUp() {
         double[] given = afterGiveBack(OK);
-        for (Gateway.Outcome outcome : List.of(Gateway.Outcome.FULL, Gateway.Outcome.RESET)) {
+        for (CallOutcome outcome : List.of(CallOutcome.FULL, CallOutcome.RESET)) {
             double[] turned = afterGiveBack(outcome);
             assertEquals(given[0], turned[0]);
             assertEquals(given[1] + given[0], turned[1], "the next call takes it off too");
@@ -132,8 +135,8 @@
     }
 
     /** What was given back of a claim past the store, and the next amount added once that had ended. */
-    private static double[] afterGiveBack(Gateway.Outcome outcome) {
-        Bench b = new Bench().start().servers(8);
+    private static double[] afterGiveBack(CallOutcome outcome) {
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "c");
         }
@@ -164,28 +167,28 @@
     /** Eight broken connections in a row were taken for a counter that is away: nothing was asked for 2 s. */
     @Test
     void brokenCounterConnectionsDoNotMeanSilence() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) {
             b.arrive(i, "read", "rate", "x" + i);
-            b.answerCounter(Gateway.Outcome.RESET);
+            b.answerCounter(CallOutcome.RESET);
         }
         b.arrive(20, "read", "rate", "y");
-        assertEquals(21, b.count("count 1.0"), "the counter is still asked");
+        assertEquals(21, b.addToCounter("count 1.0"), "the counter is still asked");
     }
 
     @Test
     void aRefusingCounterIsNotFlooded() {
-        Bench b = new Bench();
-        rate(b, Gateway.Outcome.FULL, 0);
-        assertTrue(b.count("count") < 12 * 4 * 2, "calls: " + b.count("count"));
+        PolicyHarness b = new PolicyHarness();
+        rate(b, CallOutcome.FULL, 0);
+        assertTrue(b.addToCounter("count") < 12 * 4 * 2, "calls: " + b.addToCounter("count"));
     }
 
     @Test
     void aHundredGatewaysTogetherKeepTheQuotaAndFollowWeight() {
         Map<Long, Double> counter = new HashMap<>();
-        List<Bench> all = new ArrayList<>();
+        List<PolicyHarness> all = new ArrayList<>();
         for (int n = 0; n < 100; n++) {
-            Bench b = new Bench();
+            PolicyHarness b = new PolicyHarness();
             b.me = n;
             b.nodes = 100;
             b.sums = counter;
@@ -193,18 +196,19 @@
         }
         long id = 0;
         for (int t = 0; t < 20000; t += 40) {
-            for (Bench b : all) {
+            for (PolicyHarness b : all) {
                 b.to(t);
             }
-            Bench b = all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 has a quarter and more
-            b.module.arrived(t, new Gateway.Request(id, "read", "rate", "c", 2000, 1, 100, 0, false));
+            PolicyHarness b = all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 has a quarter and more
+            b.module.onRequest(t, new IncomingRequest(id, "read", "rate", "c", 2000, 1, 100, 0, false));
             b.answerCounter(OK);
             b.end(id++, 0, OK);
         }
-        long sent = all.stream().mapToLong(b -> b.count("send")).sum();
+        long sent = all.stream().mapToLong(b -> b.addToCounter("send")).sum();
         assertTrue(sent <= 8 + 8 * 20 + 2 && sent > 8 * 20 * 0.8, "burst 8 and 8 a second for 20 s: " + sent);
         assertTrue(
-                all.get(7).count("send") > sent / 8.0, "weight: " + all.get(7).count("send"));
+                all.get(7).addToCounter("send") > sent / 8.0,
+                "weight: " + all.get(7).addToCounter("send"));
     }
 
     @Test
@@ -212,102 +216,102 @@
         Map<Long, Double> counter = new HashMap<>();
         long sent = 0;
         for (int n = 0; n < 300; n++) {
-            Bench b = new Bench();
+            PolicyHarness b = new PolicyHarness();
             b.me = n;
             b.nodes = 300;
             b.sums = counter;
             b.start().servers(8);
-            b.module.arrived(0, new Gateway.Request(n, "read", "rate", "c", 2000, 1, 300, 0, false));
+            b.module.onRequest(0, new IncomingRequest(n, "read", "rate", "c", 2000, 1, 300, 0, false));
             b.answerCounter(OK);
-            sent += b.count("send");
+            sent += b.addToCounter("send");
         }
         assertEquals(8, sent);
     }
 
     @Test
     void aLostNameDoesNotGiveTheBurstAgain() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 8; i++) {
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(OK);
         }
-        assertEquals(8, b.count("send"));
+        assertEquals(8, b.addToCounter("send"));
         b.sums.clear();
         b.to(100);
         for (int i = 10; i < 18; i++) {
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(OK);
         }
-        assertTrue(b.count("send") <= 9, "sent " + b.count("send"));
+        assertTrue(b.addToCounter("send") <= 9, "sent " + b.addToCounter("send"));
     }
 
     /** The plan of a customer's first request was that of all its later ones. */
     @Test
     void aRequestIsHeldAgainstTheQuotaOfItsOwnPlan() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 8; i++) {
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(OK);
         }
         b.arrive(10, "read", "big", "c", 3, 2);
         b.answerCounter(OK);
-        assertEquals(1, b.count("send 10"), "a thousand units a second: " + b.log);
+        assertEquals(1, b.addToCounter("send 10"), "a thousand units a second: " + b.log);
         b.arrive(11, "read", "rate", "c");
         b.answerCounter(OK);
-        assertEquals(0, b.count("send 11"), "the burst of 8 is used up");
+        assertEquals(0, b.addToCounter("send 11"), "the burst of 8 is used up");
     }
 
     @Test
     void aLateCallIsMadeUpForByTheNextAdd() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         b.arrive(1, "read", "rate", "c");
-        b.answerCounter(Gateway.Outcome.TIMEOUT);
+        b.answerCounter(CallOutcome.TIMEOUT);
         b.to(300);
-        assertEquals(1, b.count("count 0.0"), "the weight is on the counter already");
+        assertEquals(1, b.addToCounter("count 0.0"), "the weight is on the counter already");
         b.answerCounter(OK);
-        assertEquals(1, b.count("send 1"));
+        assertEquals(1, b.addToCounter("send 1"));
     }
 
     @Test
     void withNoCallToBeHadARequestGoesByBeliefAndIsToldLater() {
-        Bench b = new Bench();
+        PolicyHarness b = new PolicyHarness();
         b.nodes = 1000; // a first allowance of one call for this gateway
         b.start().servers(2000);
         for (int i = 0; i < 12; i++) {
             b.arrive(i, "read", "rate", "c" + i);
         }
-        assertEquals(1, b.count("count 1.0"));
-        assertEquals(0, b.count("send"), "nothing was read of any of them: a call is waited for");
+        assertEquals(1, b.addToCounter("count 1.0"));
+        assertEquals(0, b.addToCounter("send"), "nothing was read of any of them: a call is waited for");
         b.to(260);
-        assertEquals(11, b.count("send"), "none of them was ever short");
+        assertEquals(11, b.addToCounter("send"), "none of them was ever short");
         b.answerCounter(OK);
         b.log.clear();
         b.arrive(20, "read", "rate", "c5");
-        assertEquals(1, b.count("count 2.0"), "the one sent by belief and this one");
+        assertEquals(1, b.addToCounter("count 2.0"), "the one sent by belief and this one");
     }
 
     /** Fourteen gateways each called anew while their late calls stood in line: half of all were late. */
     @Test
     void aCallThatTimedOutIsGivenTimeToLeaveTheLine() {
-        Bench b = new Bench();
+        PolicyHarness b = new PolicyHarness();
         b.nodes = 1000; // one call at a time at first
         b.start().servers(2000);
         for (int i = 0; i < 4; i++) {
             b.arrive(i, "read", "rate", "c" + i);
         }
         b.to(50);
-        assertEquals(1, b.count("count"));
-        b.answerCounter(Gateway.Outcome.TIMEOUT);
+        assertEquals(1, b.addToCounter("count"));
+        b.answerCounter(CallOutcome.TIMEOUT);
         b.to(74);
-        assertEquals(1, b.count("count"), "nothing new for half of the limit of 50 ms: " + b.log);
+        assertEquals(1, b.addToCounter("count"), "nothing new for half of the limit of 50 ms: " + b.log);
         b.to(126);
-        assertEquals(2, b.count("count"), "and the next by itself soon behind: " + b.log);
+        assertEquals(2, b.addToCounter("count"), "and the next by itself soon behind: " + b.log);
     }
 
     /** Sixty gateways with one call out each: two in three were late, as the counter had a line of them. */
     @Test
     void whereOneCallAGatewayIsTooManyThereArePausesBetweenThem() {
-        Bench b = new Bench();
+        PolicyHarness b = new PolicyHarness();
         b.nodes = 1000;
         b.start().servers(2000);
         assertTrue(callsASecond(b, 45) <= 5, "answers close to the limit of 50 ms: a line");
@@ -317,51 +321,51 @@
     /** A counter that was away for some seconds left a gateway of three with pauses of a second and more. */
     @Test
     void behindASilenceCallsAreNotPausedAsInACrowd() {
-        Bench b = new Bench().start().servers(100);
+        PolicyHarness b = new PolicyHarness().start().servers(100);
         for (int i = 0; i < 300; i++) {
             b.to(i * 20);
             b.arrive(i, "read", "rate", "c" + i);
-            b.answerCounter(Gateway.Outcome.TIMEOUT);
+            b.answerCounter(CallOutcome.TIMEOUT);
         }
-        while (b.count("count") == 0 || b.calls.isEmpty()) {
+        while (b.addToCounter("count") == 0 || b.calls.isEmpty()) {
             b.to(b.now + 20);
             b.arrive((long) b.now, "read", "rate", "d" + b.now);
         }
         b.answerCounter(OK);
-        long before = b.count("count");
+        long before = b.addToCounter("count");
         for (int i = 0; i < 100; i++) {
             b.to(b.now + 10);
             b.arrive(100_000 + i, "read", "rate", "e" + i);
             b.answerCounter(OK);
         }
-        assertTrue(b.count("count") - before >= 50, "in a second: " + (b.count("count") - before));
+        assertTrue(b.addToCounter("count") - before >= 50, "in a second: " + (b.addToCounter("count") - before));
     }
 
     /** In the last 2 s of 12 s of requests for customers not seen before. */
-    private static double callsASecond(Bench b, double took) {
+    private static double callsASecond(PolicyHarness b, double took) {
         double from = b.now;
         long before = 0;
         for (double t = from; t < from + 12000; t += took) {
             b.to(t);
-            before = t < from + 10000 ? b.count("count") : before;
+            before = t < from + 10000 ? b.addToCounter("count") : before;
             b.arrive((long) t, "read", "rate", "c" + t);
             while (!b.calls.isEmpty()) {
                 long name = b.calls.remove(0)[0];
                 double total = b.totals.remove(0);
                 b.to(b.now + took);
-                b.module.counted(b.now, name, OK, took, total);
+                b.module.onCounterReply(b.now, name, OK, took, total);
             }
         }
-        return (b.count("count") - before) / 2.0;
+        return (b.addToCounter("count") - before) / 2.0;
     }
 
     /** A hundred gateways that read an empty store twice a second left the counter nothing else to do. */
     @Test
     void anEmptyStoreIsReadAgainLaterWhereItsSetIsLarge() {
         for (int spread : List.of(2, 100)) {
-            Bench b = new Bench();
+            PolicyHarness b = new PolicyHarness();
             b.nodes = 1000; // one call at a time at first
-            b.plans = List.of(new Gateway.Plan("slow", 1, 8, 0, 1, 0, 1, 0, 0, 0));
+            b.plans = List.of(new QuotaPlan("slow", 1, 8, 0, 1, 0, 1, 0, 0, 0));
             b.start().servers(2000);
             b.arrive(1, "read", "slow", "c", 2, spread);
             b.answerCounter(OK);
@@ -373,7 +377,7 @@
             b.log.clear();
             b.to(600);
             b.arrive(3, "read", "slow", "c", 2, spread);
-            assertEquals(spread == 2 ? 1 : 0, b.count("count"), spread + ": " + b.log);
+            assertEquals(spread == 2 ? 1 : 0, b.addToCounter("count"), spread + ": " + b.log);
         }
     }
 
@@ -383,7 +387,7 @@
      */
     @Test
     void aSlowCounterIsAskedByFewCallsAtATime() {
-        Bench b = new Bench().start().servers(100);
+        PolicyHarness b = new PolicyHarness().start().servers(100);
         int most = 0;
         double free = 0;
         java.util.ArrayDeque<Double> done = new java.util.ArrayDeque<>();
@@ -401,8 +405,8 @@
             while (!done.isEmpty() && done.peek() <= t) {
                 double took = 9 * b.calls.size(); // about: those behind it have come since
                 late.add(took);
-                b.module.counted(
-                        t, b.calls.remove(0)[0], took > 50 ? Gateway.Outcome.TIMEOUT : OK, took, b.totals.remove(0));
+                b.module.onCounterReply(
+                        t, b.calls.remove(0)[0], took > 50 ? CallOutcome.TIMEOUT : OK, took, b.totals.remove(0));
                 done.poll();
             }
             for (int k = Math.max(0, t - 500); k <= t; k++) { // what was held meanwhile is answered too
@@ -411,88 +415,88 @@
         }
         assertTrue(most <= 8, "out at a time: " + most);
         assertTrue(late.size() > 700, "and it is kept busy: " + late.size());
-        assertTrue(b.count("refuse") < 200, "refused though none is short: " + b.count("refuse"));
+        assertTrue(b.addToCounter("refuse") < 200, "refused though none is short: " + b.addToCounter("refuse"));
     }
 
     @Test
     void trueUnitsAreTakenFromTheCredits() {
-        Bench b = new Bench();
+        PolicyHarness b = new PolicyHarness();
         b.settled = true;
         b.mostUnits = 4;
         b.start().servers(8);
         b.arrive(1, "read", "rate", "c", 1, 2);
         b.answerCounter(OK);
-        b.module.ended(0, 1, 0, OK, 20, true, 4, new double[0]);
+        b.module.onAttemptEnded(0, 1, 0, OK, 20, true, 4, new double[0]);
         b.arrive(2, "read", "rate", "c", 1, 2);
-        assertEquals(1, b.count("count 4.0"), "the 3 more of the first request and the 1 of this one");
+        assertEquals(1, b.addToCounter("count 4.0"), "the 3 more of the first request and the 1 of this one");
     }
 
     @Test
     void openCapIsHeldByTheCount() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         b.arrive(1, "read", "open", "c");
-        assertEquals(0, b.count("send"), "not before the counter has answered");
+        assertEquals(0, b.addToCounter("send"), "not before the counter has answered");
         b.answerCounter(OK);
-        assertEquals(1, b.count("send 1"));
+        assertEquals(1, b.addToCounter("send 1"));
         b.arrive(2, "read", "open", "c");
         long name = b.calls.remove(0)[0];
-        b.module.counted(0, name, OK, 2, 4);
-        assertEquals(0, b.count("send 2"), "the fourth slot of three");
-        assertEquals(1, b.count("count -1.0"), "given back");
+        b.module.onCounterReply(0, name, OK, 2, 4);
+        assertEquals(0, b.addToCounter("send 2"), "the fourth slot of three");
+        assertEquals(1, b.addToCounter("count -1.0"), "given back");
         b.end(1, 0, OK);
-        assertEquals(1, b.count("send 2"), "the slot of the first request is used again");
+        assertEquals(1, b.addToCounter("send 2"), "the slot of the first request is used again");
     }
 
     @Test
     void openCapWithoutACallIsOneAtATimeWhileTheLastCountsShowedRoom() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 20; i++) { // the counter is away
             b.arrive(100 + i, "read", "open", "d" + i, 1, 100);
-            b.answerCounter(Gateway.Outcome.NO_CONNECTION);
+            b.answerCounter(CallOutcome.NO_CONNECTION);
         }
         b.log.clear();
         b.arrive(1, "read", "open", "c", 1, 100);
         b.arrive(2, "read", "open", "c", 1, 100);
-        assertEquals(1, b.count("send"), "the even part of 3 over 100 is under one");
+        assertEquals(1, b.addToCounter("send"), "the even part of 3 over 100 is under one");
         b.end(1, 0, OK);
-        assertEquals(2, b.count("send"));
+        assertEquals(2, b.addToCounter("send"));
     }
 
     @Test
     void aMarkedRepeatIsRefusedWhileItsCustomerIsShort() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 30; i++) {
             b.arrive(i, "read", "rate", "c");
         }
         b.answerCounter(OK);
         b.to(600);
-        assertTrue(b.count("refuse") > 0);
-        b.module.arrived(b.now, new Gateway.Request(99, "read", "rate", "c", 1500, 1, 2, 0, true));
-        assertEquals(1, b.count("refuse 99"));
-        b.module.arrived(b.now, new Gateway.Request(98, "read", "rate", "c", 1500, 1, 2, 0, false));
-        assertEquals(0, b.count("refuse 98"));
+        assertTrue(b.addToCounter("refuse") > 0);
+        b.module.onRequest(b.now, new IncomingRequest(99, "read", "rate", "c", 1500, 1, 2, 0, true));
+        assertEquals(1, b.addToCounter("refuse 99"));
+        b.module.onRequest(b.now, new IncomingRequest(98, "read", "rate", "c", 1500, 1, 2, 0, false));
+        assertEquals(0, b.addToCounter("refuse 98"));
     }
 
     /** Held longer, a request that is never sent has used up what its client had for another try. */
     @Test
     void aRequestIsHeldForHalfOfItsClientsWaitAtMost() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 30; i++) {
-            b.module.arrived(0, new Gateway.Request(i, "read", "rate", "c", 600, 1, 2, 0, false));
+            b.module.onRequest(0, new IncomingRequest(i, "read", "rate", "c", 600, 1, 2, 0, false));
         }
         b.answerCounter(OK);
         b.answerCounter(OK);
         b.to(300);
-        assertEquals(30, b.count("send") + b.count("refuse"), b.log.toString());
-        assertTrue(b.count("refuse") > 0);
+        assertEquals(30, b.addToCounter("send") + b.addToCounter("refuse"), b.log.toString());
+        assertTrue(b.addToCounter("refuse") > 0);
     }
 
     /** Two gateways at one counter; the arrivals are numbered on. */
-    private static List<Bench> two() {
+    private static List<PolicyHarness> two() {
         Map<Long, Double> counter = new HashMap<>();
-        List<Bench> both = new ArrayList<>();
+        List<PolicyHarness> both = new ArrayList<>();
         for (int n = 0; n < 2; n++) {
-            Bench b = new Bench();
+            PolicyHarness b = new PolicyHarness();
             b.sums = counter;
             both.add(b.start().servers(8));
         }
@@ -500,25 +504,25 @@
     }
 
     /** So many arrive at a time, and the counter answers as far as it is asked; how many are sent at once. */
-    private static long burst(Bench b, double time, int requests) {
+    private static long burst(PolicyHarness b, double time, int requests) {
         b.to(time);
         while (!b.calls.isEmpty()) {
             b.answerCounter(OK);
         }
-        long before = b.count("send");
+        long before = b.addToCounter("send");
         for (int i = 0; i < requests; i++) {
             b.arrive((long) time * 100 + i, "read", "rate", "c");
         }
         while (!b.calls.isEmpty()) {
             b.answerCounter(OK);
         }
-        return b.count("send") - before;
+        return b.addToCounter("send") - before;
     }
 
     /** What a full store did not take in stayed on the name: each gateway in turn took it for room. */
     @Test
     void whatAFullStoreDidNotTakeInIsTakenOffItsName() {
-        List<Bench> both = two();
+        List<PolicyHarness> both = two();
         assertEquals(2, burst(both.get(0), 0, 1) + burst(both.get(1), 0, 1));
         assertEquals(8, burst(both.get(0), 600, 8), "full since 250 ms");
         assertEquals(0, burst(both.get(1), 601, 8), "and used up");
@@ -529,9 +533,9 @@
     void aNewNameIsPutRightByOneGatewayFirst() {
         Map<Long, Double> counter = new HashMap<>();
         long corrections = 0;
-        List<Bench> all = new ArrayList<>();
+        List<PolicyHarness> all = new ArrayList<>();
         for (int n = 0; n < 4; n++) {
-            Bench b = new Bench();
+            PolicyHarness b = new PolicyHarness();
             b.me = n;
             b.nodes = 4;
             b.sums = counter;
@@ -539,20 +543,20 @@
             all.add(b.start().servers(8));
             b.arrive(n, "read", "rate", "c", 1, 4);
         }
-        for (Bench b : all) {
+        for (PolicyHarness b : all) {
             b.answerCounter(OK);
             corrections += b.log.stream()
                     .filter(l -> l.startsWith("count 1") && l.length() > 9)
                     .count();
         }
         assertEquals(1, corrections, "what the quota has filled in 20 s");
-        assertEquals(4, all.stream().mapToLong(b -> b.count("send")).sum());
+        assertEquals(4, all.stream().mapToLong(b -> b.addToCounter("send")).sum());
     }
 
     /** At a new name the gateway that had read the old one longest ago took its reading for the store's. */
     @Test
     void aNewNameDoesNotGiveWhatOthersHaveTaken() {
-        List<Bench> both = two();
+        List<PolicyHarness> both = two();
         assertEquals(1, burst(both.get(0), 20_000, 1), "it last sees a full store");
         assertEquals(8, burst(both.get(1), 29_999, 8));
         assertEquals(0, burst(both.get(0), 30_001, 8), "the store is empty, whatever the name");
@@ -564,16 +568,16 @@
      */
     @Test
     void inSilenceThePartsOfAllGatewaysAreNoMoreThanTheQuota() {
-        List<Bench> both = two();
+        List<PolicyHarness> both = two();
         long id = 0;
         for (int t = 0; t < 16_000; t += 20) {
-            for (Bench b : both) {
+            for (PolicyHarness b : both) {
                 b.to(t);
-                b.answerCounter(t < 6000 ? OK : Gateway.Outcome.NO_CONNECTION);
+                b.answerCounter(t < 6000 ? OK : CallOutcome.NO_CONNECTION);
             }
-            Bench b = both.get(t % 80 == 0 ? 1 : 0);
+            PolicyHarness b = both.get(t % 80 == 0 ? 1 : 0);
             b.arrive(id, "read", "rate", "c");
-            b.answerCounter(t < 6000 ? OK : Gateway.Outcome.NO_CONNECTION);
+            b.answerCounter(t < 6000 ? OK : CallOutcome.NO_CONNECTION);
             for (long k = Math.max(0, id++ - 60); k < id; k++) { // what was sent is answered
                 both.get(0).end(k, 0, OK);
                 both.get(1).end(k, 0, OK);
@@ -582,46 +586,46 @@
                 both.forEach(each -> each.log.clear());
             }
         }
-        long sent = both.get(0).count("send") + both.get(1).count("send");
+        long sent = both.get(0).addToCounter("send") + both.get(1).addToCounter("send");
         assertTrue(sent > 50 && sent <= 8 * 8 + 2, "8 a second for 8 s: " + sent);
     }
 
     /** Requests move while nothing is heard: a gateway that had few before held them to its old part. */
     @Test
     void inSilenceAGatewaySoonHasTheEvenPart() {
-        List<Bench> both = two();
+        List<PolicyHarness> both = two();
         long before = 0;
         for (int t = 0; t < 10_000; t += 20) {
-            Gateway.Outcome outcome = t < 6000 ? OK : Gateway.Outcome.NO_CONNECTION;
-            for (Bench b : both) {
+            CallOutcome outcome = t < 6000 ? OK : CallOutcome.NO_CONNECTION;
+            for (PolicyHarness b : both) {
                 b.to(t);
                 b.answerCounter(outcome);
             }
-            Bench b = both.get(t >= 6000 || t % 200 == 0 ? 1 : 0);
+            PolicyHarness b = both.get(t >= 6000 || t % 200 == 0 ? 1 : 0);
             b.arrive(t, "read", "rate", "c");
             b.answerCounter(outcome);
             for (long k = Math.max(0, t - 1000); k <= t; k += 20) {
                 both.get(0).end(k, 0, OK);
                 both.get(1).end(k, 0, OK);
             }
-            before = t == 8000 ? both.get(1).count("send") : before;
+            before = t == 8000 ? both.get(1).addToCounter("send") : before;
         }
-        long sent = both.get(1).count("send") - before;
+        long sent = both.get(1).addToCounter("send") - before;
         assertTrue(sent >= 3 && sent <= 9, "up to 4 a second for 2 s: " + sent);
     }
 
     /** A counter that is back empty had each gateway hand out what the others had sent in the meantime. */
     @Test
     void afterSilenceWhatOthersHaveSentIsNotGivenAgain() {
-        List<Bench> both = two();
+        List<PolicyHarness> both = two();
         long before = 0;
         for (int t = 0; t < 12_000; t += 20) {
-            Gateway.Outcome outcome = t < 6000 || t >= 11_000 ? OK : Gateway.Outcome.NO_CONNECTION;
+            CallOutcome outcome = t < 6000 || t >= 11_000 ? OK : CallOutcome.NO_CONNECTION;
             if (t == 11_000) {
                 both.get(0).sums.clear();
-                before = both.get(0).count("send") + both.get(1).count("send");
+                before = both.get(0).addToCounter("send") + both.get(1).addToCounter("send");
             }
-            for (Bench b : both) {
+            for (PolicyHarness b : both) {
                 b.to(t);
                 b.answerCounter(outcome);
                 b.arrive(t, "read", "rate", "c");
@@ -631,19 +635,19 @@
                 }
             }
         }
-        long sent = both.get(0).count("send") + both.get(1).count("send") - before;
+        long sent = both.get(0).addToCounter("send") + both.get(1).addToCounter("send") - before;
         assertTrue(sent >= 4 && sent <= 13, "8 a second, the store was used up: " + sent);
     }
 
     /** What was sent in silence was taken off the store again when the counter was back, filled up or not. */
     @Test
     void whatWasSentInSilenceLongAgoIsNotTakenOffAFullStore() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 500; i++) {
             b.to(i * 20);
-            b.answerCounter(i < 50 ? OK : Gateway.Outcome.NO_CONNECTION);
+            b.answerCounter(i < 50 ? OK : CallOutcome.NO_CONNECTION);
             b.arrive(i, "read", "rate", "c");
-            b.answerCounter(i < 50 ? OK : Gateway.Outcome.NO_CONNECTION);
+            b.answerCounter(i < 50 ? OK : CallOutcome.NO_CONNECTION);
             for (int k = Math.max(0, i - 60); k <= i; k++) {
                 b.end(k, 0, OK);
             }
@@ -659,7 +663,7 @@
     /** A reading amid another gateway's claim that is then cut was held against the store from then on. */
     @Test
     void aLowReadingIsNoBoundForTheNext() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         burst(b, 10_000, 6);
         b.othersTook(4);
         burst(b, 10_100, 1);
@@ -673,26 +677,26 @@
     /** A wait that is shorter than usual is the rest of a deadline: past the aim, its answer is of no use. */
     @Test
     void aTryThatHasWaitedPastItsAimTakesNothingFromAShortCustomer() {
-        Bench b = new Bench().start().servers(8);
+        PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 30; i++) {
             b.arrive(i, "read", "rate", "c");
         }
         b.answerCounter(OK);
         b.answerCounter(OK);
-        b.module.arrived(0, new Gateway.Request(40, "read", "rate", "c", 1300, 1, 2, 0, false));
-        assertEquals(1, b.count("refuse 40"), "700 of its aim of 600 are over");
-        b.module.arrived(0, new Gateway.Request(41, "read", "rate", "c", 1700, 1, 2, 0, false));
-        assertEquals(0, b.count("refuse 41"), "300 are left");
+        b.module.onRequest(0, new IncomingRequest(40, "read", "rate", "c", 1300, 1, 2, 0, false));
+        assertEquals(1, b.addToCounter("refuse 40"), "700 of its aim of 600 are over");
+        b.module.onRequest(0, new IncomingRequest(41, "read", "rate", "c", 1700, 1, 2, 0, false));
+        assertEquals(0, b.addToCounter("refuse 41"), "300 are left");
         b.to(200);
-        assertEquals(1, b.count("refuse 41") + b.count("send 41"), "but not the whole aim");
-        b.module.arrived(200, new Gateway.Request(42, "read", "rate", "d", 1300, 1, 2, 0, false));
+        assertEquals(1, b.addToCounter("refuse 41") + b.addToCounter("send 41"), "but not the whole aim");
+        b.module.onRequest(200, new IncomingRequest(42, "read", "rate", "d", 1300, 1, 2, 0, false));
         b.answerCounter(OK);
-        assertEquals(1, b.count("send 42"), "with a full store it takes nothing from others");
+        assertEquals(1, b.addToCounter("send 42"), "with a full store it takes nothing from others");
     }
 
     @Test
     void aStaleReminderArmsNoFurtherOne() {
-        Bench b = new Bench().start().servers(4);
+        PolicyHarness b = new PolicyHarness().start().servers(4);
         for (int i = 0; i < 200; i++) {
             b.arrive(i, "read", "big", "c");
             b.end(i, 0, OK);
@@ -704,8 +708,8 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        Bench one = new Bench();
-        Bench two = new Bench();
+        PolicyHarness one = new PolicyHarness();
+        PolicyHarness two = new PolicyHarness();
         rate(one, OK, 3);
         rate(two, OK, 3);
         assertEquals(one.log, two.log);
