--- a/src/test/java/willowyoke/RampTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,14 +14,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.Capabilities;
+import quotagateway.policy.api.CostWeights;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyActions;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.policy.api.ServiceRules;
 
 /**
  * What a whole fleet sends to a cold server: in no span of the settings' length more than
  * N + 2 x root of N + 2, N being the factor times the least that the settings let it do at that moment.
  */
-class RampTest {
-    private static Gateway.Rules rules(double warmAfter) {
-        return new Gateway.Rules(16, 250, 0.25, warmAfter, 3, 1000);
+class SlowStartTest {
+    private static ServiceRules rules(double warmAfter) {
+        return new ServiceRules(16, 250, 0.25, warmAfter, 3, 1000);
     }
 
     private record Event(double at, long serial, Runnable what) {}
@@ -29,14 +42,14 @@
     /** Modules on one clock before servers that queue; what each server was sent is kept. */
     private static final class Fleet {
         final int size;
-        final Gateway.Rules rules;
+        final ServiceRules rules;
         final Random random;
         final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
         final Edge[] edges;
         final double[] weight;
         final Map<String, Place> places = new HashMap<>();
-        final List<Gateway.Server> list = new ArrayList<>();
+        final List<EndpointDescriptor> list = new ArrayList<>();
         final double capacity;
         double now;
         double perSecond;
@@ -46,7 +59,7 @@
         long served;
 
         /** Servers that are busy by the part `use` of what each can do warm: `capacity` a second. */
-        Fleet(Gateway.Rules rules, int size, int servers, double capacity, double use) {
+        Fleet(ServiceRules rules, int size, int servers, double capacity, double use) {
             this.rules = rules;
             this.size = size;
             this.capacity = capacity;
@@ -55,7 +68,7 @@
             edges = new Edge[size];
             weight = new double[size];
             for (int i = 0; i < servers; i++) {
-                list.add(server(i, Gateway.State.UP, 0));
+                list.add(server(i, EndpointState.UP, 0));
                 places.put("s" + i, new Place());
             }
             for (int i = 0; i < size; i++) {
@@ -65,8 +78,8 @@
             next();
         }
 
-        static Gateway.Server server(int i, Gateway.State state, double startedAt) {
-            return new Gateway.Server("s" + i, i / 4, "z" + i % 3, state, "k", startedAt, 1, 0);
+        static EndpointDescriptor server(int i, EndpointState state, double startedAt) {
+            return new EndpointDescriptor("s" + i, i / 4, "z" + i % 3, state, "k", startedAt, 1, 0);
         }
 
         void at(double time, Runnable what) {
@@ -98,9 +111,9 @@
                     i++;
                 }
                 asked++;
-                edges[i].module.arrived(
+                edges[i].module.onRequest(
                         now,
-                        new Gateway.Request(
+                        new IncomingRequest(
                                 serial++, "read", "any", "c" + serial % 50, 90_000 / capacity, 1, 1, i, false));
                 next();
             });
@@ -109,14 +122,14 @@
         /** A new process, which knows the list alone. */
         void restart(int i) {
             edges[i] = new Edge(this, i);
-            edges[i].module.servers(now, list, true);
+            edges[i].module.onEndpoints(now, list, true);
         }
 
-        void tell(Gateway.Server s) {
+        void tell(EndpointDescriptor s) {
             int i = Integer.parseInt(s.id().substring(1));
             list.set(i, s);
             for (Edge e : edges) {
-                e.module.servers(now, List.of(s), false);
+                e.module.onEndpoints(now, List.of(s), false);
             }
         }
 
@@ -124,27 +137,27 @@
         void cold(int from, int to) {
             for (int i = from; i < to; i++) {
                 places.get("s" + i).started = now;
-                tell(server(i, Gateway.State.UP, now));
+                tell(server(i, EndpointState.UP, now));
             }
         }
 
         void gone(int from, int to) {
             for (int i = from; i < to; i++) {
-                tell(server(i, Gateway.State.GONE, 0));
+                tell(server(i, EndpointState.REMOVED, 0));
             }
         }
 
         void sent(Edge edge, long id, String server) {
             Place p = places.get(server);
             p.sends.add(now);
-            while (p.sends.peek() <= now - rules.overloadFor()) {
+            while (p.sends.peek() <= now - rules.overloadWindow()) {
                 p.sends.poll();
             }
             double age = now - p.started;
-            double warm = Math.min(1, age / rules.warmAfter());
-            double able = capacity * (rules.coldShare() + (1 - rules.coldShare()) * warm);
-            if (age < rules.warmAfter()) {
-                double n = rules.overloadFactor() * able * rules.overloadFor() / 1000;
+            double warm = Math.min(1, age / rules.slowStartDuration());
+            double able = capacity * (rules.slowStartInitialShare() + (1 - rules.slowStartInitialShare()) * warm);
+            if (age < rules.slowStartDuration()) {
+                double n = rules.overloadFactor() * able * rules.overloadWindow() / 1000;
                 long told = p.sends.stream().filter(t -> t >= p.started).count();
                 worst = Math.max(worst, told / (n + 2 * Math.sqrt(n) + 2));
             }
@@ -155,11 +168,11 @@
             double sentAt = now;
             at(full ? now + 1 : p.free + 3000 / capacity, () -> {
                 served += full ? 0 : 1;
-                edge.module.ended(
+                edge.module.onAttemptEnded(
                         now,
                         id,
                         edge.tries.merge(id, 1, Integer::sum) - 1,
-                        full ? Gateway.Outcome.FULL : Gateway.Outcome.OK,
+                        full ? CallOutcome.FULL : CallOutcome.OK,
                         now - sentAt,
                         !full,
                         0,
@@ -175,25 +188,25 @@
     }
 
     /** A node; a process that has gone still gets its answers, and they count for nothing. */
-    private static final class Edge implements Gateway.Actions {
+    private static final class Edge implements PolicyActions {
         final Fleet fleet;
-        final Decide module;
+        final Policy module;
         final Map<Long, Integer> tries = new HashMap<>();
 
         Edge(Fleet fleet, int me) {
             this.fleet = fleet;
-            Gateway.RequestClass read = new Gateway.RequestClass(
+            RequestClass read = new RequestClass(
                     "read",
-                    Gateway.Effect.SAFE,
-                    Gateway.Group.ALL,
+                    Idempotency.IDEMPOTENT,
+                    RetryScope.ALL,
                     30_000 / fleet.capacity,
                     90_000 / fleet.capacity,
                     1,
                     0,
                     0,
                     false);
-            module = new Decide(
-                    new Gateway.Settings(
+            module = new Policy(
+                    new PolicySettings(
                             me,
                             fleet.size,
                             "z" + me % 3,
@@ -203,10 +216,10 @@
                             1,
                             List.of(),
                             List.of(read),
-                            List.of(new Gateway.Plan("any", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
-                            new Gateway.Allowed(false, true, false, true, false, false, 3, 1000, 50),
+                            List.of(new QuotaPlan("any", 0, 0, 0, 1, 0, 1, 0, 0, 0)),
+                            new Capabilities(false, true, false, true, false, false, 3, 1000, 50),
                             fleet.rules,
-                            new Gateway.Prices(0.05, 0, 0, 0, 0)),
+                            new CostWeights(0.05, 0, 0, 0, 0)),
                     fleet.random.nextLong(),
                     fleet.now,
                     this);
@@ -217,36 +230,36 @@
         }
 
         @Override
-        public void send(long id, String server, double until) {
+        public void sendAttempt(long id, String server, double until) {
             fleet.sent(this, id, server);
         }
 
         @Override
-        public void timer(double delay, long token) {
+        public void scheduleTimer(double delay, long token) {
             fleet.at(fleet.now + delay + 0.001, () -> {
                 if (runs()) {
-                    module.timer(fleet.now, token);
+                    module.onTimer(fleet.now, token);
                 }
             });
         }
 
         @Override
-        public void cancel(long id, int attempt) {}
+        public void cancelAttempt(long id, int attempt) {}
 
         @Override
-        public void refuse(long id, double retryAfter) {}
+        public void reject(long id, double retryAfter) {}
 
         @Override
         public void fail(long id) {}
 
         @Override
-        public void probe(String server) {}
+        public void checkHealth(String server) {}
 
         @Override
-        public void count(long name, double amount, double keepFor) {}
+        public void addToCounter(long name, double amount, double keepFor) {}
 
         @Override
-        public void subscribe() {}
+        public void subscribeToEndpoints() {}
     }
 
     private enum Trouble {
@@ -281,8 +294,8 @@
             default -> {
                 f.cold(0, third);
                 for (int i = 0; i < third * nodes; i++) {
-                    f.edges[i / third].module.cordon(f.now, "s" + i % third, true);
-                    f.edges[i / third].module.cordon(f.now, "s" + i % third, false);
+                    f.edges[i / third].module.setCordoned(f.now, "s" + i % third, true);
+                    f.edges[i / third].module.setCordoned(f.now, "s" + i % third, false);
                 }
             }
         }
--- a/src/test/java/willowyoke/scale/FleetTest.java
+++ b/src/test/java/quotagateway/scale/FleetTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
-import willowyoke.Gateway;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointState;
 
 class FleetTest {
     private final Shape shape = new Shape();
@@ -56,13 +57,13 @@
     @Test
     void troublesReachTheNodes() {
         Fleet f = fleet(3, 1);
-        f.change(List.of(f.servers.entry(0, Gateway.State.DRAINING, 0)));
+        f.change(List.of(f.servers.entry(0, EndpointState.DRAINING, 0)));
         f.run(shape.notice[1] + 1);
         long before = f.hosts[0].got;
         f.run(3000);
         assertEquals(before, f.hosts[0].got);
         f.silence(true);
-        f.change(List.of(f.servers.entry(0, Gateway.State.UP, 0)));
+        f.change(List.of(f.servers.entry(0, EndpointState.UP, 0)));
         f.run(3000);
         assertEquals(before, f.hosts[0].got, "discovery is silent");
         f.hosts[1].end(HollowServer.Life.SILENT);
@@ -80,7 +81,7 @@
         clock.to(1000, () -> {});
         host.restart();
         assertEquals(null, host.take(10, () -> done[1] = clock.now()));
-        assertEquals(Gateway.Outcome.FULL, host.take(10, () -> {}));
+        assertEquals(CallOutcome.FULL, host.take(10, () -> {}));
         clock.to(2000, () -> {});
         assertEquals(10, done[0]);
         assertEquals(1000 + 10 / Site.COLD_SHARE, done[1], 1e-6);
@@ -92,7 +93,7 @@
         f.nodes[0].start(1);
         int most = (int) (Site.COUNTER_TIMEOUT * shape.counterRate / 1000);
         for (int i = 0; i < 2 * most; i++) {
-            f.nodes[0].count(i, 1, 1000);
+            f.nodes[0].addToCounter(i, 1, 1000);
         }
         assertEquals(2 * most, f.counter.calls);
         assertTrue(f.counter.late >= most / 2 && f.counter.late <= most + 2, f.counter.late + " of " + 2 * most);
--- a/src/test/java/willowyoke/scale/ImportRuleTest.java
+++ b/src/test/java/quotagateway/scale/ImportRuleTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,11 +15,11 @@
 
 /** The scale run and its libraries are no part of the node. */
 class ImportRuleTest {
-    private static final Pattern SCALE = Pattern.compile("willowyoke/scale|picocli|HdrHistogram");
+    private static final Pattern SCALE = Pattern.compile("quotagateway/scale|picocli|HdrHistogram");
 
     @Test
     void noClassOfTheNodeNamesTheScaleRun() throws IOException {
-        Path classes = Path.of("target", "classes", "willowyoke");
+        Path classes = Path.of("target", "classes", "quotagateway");
         List<String> naming = new ArrayList<>();
         List<Path> all;
         try (Stream<Path> files = Files.walk(classes)) {
@@ -50,7 +50,7 @@
                     library);
         }
         assertTrue(pom.contains(
-                "<id>default-jar</id><configuration><excludes>" + "<exclude>willowyoke/scale/**</exclude>"));
+                "<id>default-jar</id><configuration><excludes>" + "<exclude>quotagateway/scale/**</exclude>"));
         assertTrue(pom.contains("<includeScope>runtime</includeScope>"));
         assertEquals(2, pom.split("<addClasspath>", -1).length - 1);
     }
--- a/src/test/java/willowyoke/scale/ScaleCliTest.java
+++ b/src/test/java/quotagateway/scale/ScaleCliTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/willowyoke/scale/StandInTest.java
+++ b/src/test/java/quotagateway/scale/StandInTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale;
+package quotagateway.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.Gateway;
+import quotagateway.policy.api.EndpointState;
 
 /** The stand-ins speak as the protocol page says. */
 @Timeout(30)
@@ -92,7 +92,7 @@
             line.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             String head = line.until("]}");
             assertTrue(head.contains("chunked") && head.endsWith("{\"seq\":1,\"whole\":false,\"hosts\":[]}"), head);
-            agent.change(Set.of(1), Gateway.State.GONE, 0);
+            agent.change(Set.of(1), EndpointState.REMOVED, 0);
             assertTrue(line.until("]}").endsWith(left));
             try (Line late = to(agent.port());
                     Line lost = to(agent.port())) {
@@ -134,9 +134,9 @@
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             watch.until("]}");
             agent.silence(true);
-            agent.change(Set.of(1), Gateway.State.GONE, 0);
+            agent.change(Set.of(1), EndpointState.REMOVED, 0);
             agent.silence(false);
-            agent.change(Set.of(0), Gateway.State.DRAINING, 0);
+            agent.change(Set.of(0), EndpointState.DRAINING, 0);
             String next = watch.until("]}");
             assertTrue(next.endsWith("{\"seq\":3,\"whole\":false,\"hosts\":[" + entry(0, "leaving") + "]}"), next);
         }
--- a/src/test/java/willowyoke/scale/capacity/CapacityTablesTest.java
+++ b/src/test/java/quotagateway/scale/capacity/CapacityTablesTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.capacity;
+package quotagateway.scale.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/willowyoke/scale/soak/FaultProxyTest.java
+++ b/src/test/java/quotagateway/scale/soak/FaultProxyTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/willowyoke/scale/soak/OracleTest.java
+++ b/src/test/java/quotagateway/scale/soak/OracleTest.java
@@ -1,4 +1,4 @@
-package willowyoke.scale.soak;
+package quotagateway.scale.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,8 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
-import willowyoke.scale.Servers;
+import quotagateway.policy.api.Idempotency;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.api.RetryScope;
+import quotagateway.scale.Servers;
 
 /** The oracle sees each broken rule, and excuses what the protocol page excuses and no more. */
 class OracleTest {
@@ -20,13 +22,9 @@
     private final List<double[]> discoveryFaults = new ArrayList<>();
     private double lag;
 
-    private static ClientRequest request(Gateway.Effect effect, ClientRequest.End end, double ended) {
+    private static ClientRequest request(Idempotency effect, ClientRequest.End end, double ended) {
         ClientRequest request = new ClientRequest(
-                "01",
-                0,
-                0,
-                new Gateway.RequestClass("c", effect, Gateway.Group.CELL, 500, 1000, 1, 0, WINDOW, false),
-                1000);
+                "01", 0, 0, new RequestClass("c", effect, RetryScope.CELL, 500, 1000, 1, 0, WINDOW, false), 1000);
         request.sent = 10_000;
         request.end = end;
         request.ended = ended;
@@ -59,7 +57,7 @@
     }
 
     private List<String> rules(ClientRequest.End end, double ended) {
-        return rules(request(Gateway.Effect.SAFE, end, ended));
+        return rules(request(Idempotency.IDEMPOTENT, end, ended));
     }
 
     @Test
@@ -85,7 +83,7 @@
 
     @Test
     void theWaitForAnswersBeforeOneDoesNotCount() {
-        ClientRequest request = request(Gateway.Effect.SAFE, ClientRequest.End.FAILED, 15_600);
+        ClientRequest request = request(Idempotency.IDEMPOTENT, ClientRequest.End.FAILED, 15_600);
         request.turn = 15_000;
         assertEquals(List.of(), rules(request));
     }
@@ -125,23 +123,25 @@
         attempt(2, 10_600, 10_700, true);
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_710), "safe, one behind the other");
         assertEquals(
-                List.of("duplicate, unsafe"), rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.SERVED, 10_710)));
-        assertEquals(List.of(), rules(request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710)));
+                List.of("duplicate, unsafe"),
+                rules(request(Idempotency.NON_IDEMPOTENT, ClientRequest.End.SERVED, 10_710)));
+        assertEquals(List.of(), rules(request(Idempotency.IDEMPOTENCY_KEY, ClientRequest.End.SERVED, 10_710)));
         attempts.remove(1);
         attempt(9, 10_600, 10_700, true);
         assertEquals(
                 List.of("duplicate, in another group"),
-                rules(request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710)));
+                rules(request(Idempotency.IDEMPOTENCY_KEY, ClientRequest.End.SERVED, 10_710)));
         attempts.remove(1);
         attempt(9, 10_600, 10_700, false);
-        assertEquals(List.of(), rules(request(Gateway.Effect.UNSAFE, ClientRequest.End.FAILED, 10_710)), "turned away");
+        assertEquals(
+                List.of(), rules(request(Idempotency.NON_IDEMPOTENT, ClientRequest.End.FAILED, 10_710)), "turned away");
     }
 
     @Test
     void aKeyedRepeatBehindTheWindowIsADuplicate() {
         attempt(1, 10_010, 10_100, true);
         attempt(1, 12_200, 12_300, true);
-        ClientRequest request = request(Gateway.Effect.KEYED, ClientRequest.End.SERVED, 10_710);
+        ClientRequest request = request(Idempotency.IDEMPOTENCY_KEY, ClientRequest.End.SERVED, 10_710);
         assertEquals("duplicate, behind the window", rules(request).get(0));
     }
 
--- a/src/test/java/willowyoke/WireTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package quotagateway.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import java.io.StringReader;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorHostTest {
     private static final String UP = "INSTANCE\t3\nUP\t42\trank=0\tgroup_size=2\ttick=4.0\tunheard_of=x"
             + "\trequest_classes.count=1\trequest_classes.0.name=read\trequest_classes.0.effect=read_like"
             + "\trequest_classes.0.aim=600.0\trequest_classes.0.hard_limit=2000.0\ttariffs.count=1"
@@ -20,12 +20,12 @@
 
     private static String run(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Wire().run(new BufferedReader(new StringReader(input)), new PrintStream(out, true));
+        new SimulatorHost().run(new BufferedReader(new StringReader(input)), new PrintStream(out, true));
         return out.toString();
     }
 
     private static String error(String input) {
-        return assertThrows(Wire.Malformed.class, () -> run(input)).getMessage();
+        return assertThrows(MalformedInputException.class, () -> run(input)).getMessage();
     }
 
     @Test
--- a/src/test/java/willowyoke/net/WarmupTest.java
+++ b/src/test/java/quotagateway/startup/JitWarmupTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,33 +7,37 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.Json;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicyEvents;
 
 /** The warm-up must go the ordinary path to its end: a module that is never answered warms little. */
-class WarmupTest {
+class JitWarmupTest {
     /** On part of a core, beside others that start: what is not warm by then stays cold. */
     @Test
     void itsTimeIsBounded() throws Exception {
-        Config config = Config.of(Json.read("""
+        GatewayConfig config = GatewayConfig.of(Json.read("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n","settings":{"rank":0,"group_size":1,
               "request_classes":[{"name":"r","effect":"read_like","aim":6,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""), Map.of());
         double[] now = {0};
-        double each = Warmup.MOST_TIME / 5;
-        Warmup.run(
+        double each = JitWarmup.MOST_TIME / 5;
+        JitWarmup.run(
                 config.settings(),
-                (settings, seed, time, act) -> (Gateway.Events) java.lang.reflect.Proxy.newProxyInstance(
-                        getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
+                (settings, seed, time, act) -> (PolicyEvents) java.lang.reflect.Proxy.newProxyInstance(
+                        getClass().getClassLoader(), new Class<?>[] {PolicyEvents.class}, (self, method, args) -> {
                             now[0] += method.getName().equals("arrived") ? each : 0;
                             return null;
                         }),
                 () -> now[0]);
-        assertEquals(Warmup.MOST_TIME, now[0]);
+        assertEquals(JitWarmup.MOST_TIME, now[0]);
     }
 
     @Test
     void eachClassArrivesAndEnds() throws Exception {
-        Config config = Config.of(Json.read("""
+        GatewayConfig config = GatewayConfig.of(Json.read("""
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n",
              "settings":{"rank":0,"group_size":1,
               "request_classes":[{"name":"r","effect":"read_like","aim":6,"hard_limit":2000},
@@ -41,16 +45,16 @@
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""), Map.of());
         Set<String> seen = new TreeSet<>();
         int[] ended = {0};
-        Warmup.run(
+        JitWarmup.run(
                 config.settings(),
-                (settings, seed, now, act) -> (Gateway.Events) java.lang.reflect.Proxy.newProxyInstance(
-                        getClass().getClassLoader(), new Class<?>[] {Gateway.Events.class}, (self, method, args) -> {
+                (settings, seed, now, act) -> (PolicyEvents) java.lang.reflect.Proxy.newProxyInstance(
+                        getClass().getClassLoader(), new Class<?>[] {PolicyEvents.class}, (self, method, args) -> {
                             if (method.getName().equals("arrived")) {
-                                Gateway.Request r = (Gateway.Request) args[1];
-                                seen.add(r.type() + " " + r.plan());
-                                act.send(r.id(), "w0", 0);
+                                IncomingRequest r = (IncomingRequest) args[1];
+                                seen.add(r.requestClass() + " " + r.plan());
+                                act.sendAttempt(r.id(), "w0", 0);
                             } else if (method.getName().equals("ended")) {
-                                assertEquals(Gateway.Outcome.OK, args[3]);
+                                assertEquals(CallOutcome.OK, args[3]);
                                 ended[0]++;
                             }
                             return null;
--- a/src/test/java/willowyoke/net/StartTest.java
+++ b/src/test/java/quotagateway/startup/StartupTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.startup;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
 
 /** A start in a JVM of its own: while it lasts the edge node is down. */
 @Timeout(60)
-class StartTest {
+class StartupTest {
     /** Classes that cost much at a start and are of no use in it: recording, locales, formats. */
     private static final List<String> NOT_AT_A_START =
             List.of("jdk.jfr.EventType", "sun.util.cldr.", "java.util.Formatter");
@@ -59,7 +59,7 @@
                     "-Xlog:class+load:file=" + loaded,
                     "-cp",
                     System.getProperty("java.class.path"),
-                    "willowyoke.Main",
+                    "quotagateway.Main",
                     "serve"));
             ProcessBuilder builder = new ProcessBuilder(command);
             builder.environment().put("EDGE_CONFIG", config.toString());
--- a/src/test/java/willowyoke/net/TransportTest.java
+++ b/src/test/java/quotagateway/transport/TransportTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net;
+package quotagateway.transport;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/willowyoke/net/IdleLimitTest.java
+++ b/src/test/java/quotagateway/upstream/IdleTimeoutEstimatorTest.java
@@ -1,12 +1,12 @@
-package willowyoke.net;
+package quotagateway.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
-class IdleLimitTest {
-    private static void use(IdleLimit limit, double idle, int served, int reset) {
+class IdleTimeoutEstimatorTest {
+    private static void use(IdleTimeoutEstimator limit, double idle, int served, int reset) {
         for (int i = 0; i < served + reset; i++) {
             limit.usedAgain(idle, i >= served);
         }
@@ -14,7 +14,7 @@
 
     @Test
     void anAgeAtWhichConnectionsAreFoundDeadIsGivenUpAndAllOlder() {
-        IdleLimit limit = new IdleLimit();
+        IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 30, 100, 4);
         use(limit, 150, 20, 10);
         assertTrue(limit.allows(99));
@@ -24,7 +24,7 @@
 
     @Test
     void resetsThatNewConnectionsSeeTooAreNoReason() {
-        IdleLimit limit = new IdleLimit();
+        IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         for (int i = 0; i < 100; i++) {
             limit.usedNew(i % 5 == 0);
         }
@@ -34,14 +34,14 @@
 
     @Test
     void aFewResetsMayBeChance() {
-        IdleLimit limit = new IdleLimit();
+        IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 150, 2, 2);
         assertTrue(limit.allows(150));
     }
 
     @Test
     void anAgeIsTriedAgainOnceWhatWasSeenIsOld() {
-        IdleLimit limit = new IdleLimit();
+        IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 150, 10, 10);
         assertFalse(limit.allows(150));
         limit.fade(0.5);
