--- a/src/test/java/quotagateway/policy/QuotaTest.java
+++ b/src/test/java/quotagateway/policy/QuotaTest.java
@@ -25,7 +25,7 @@
             b.others(othersPerSecond);
             b.answerCounter(outcome);
             if (i == 400) {
-                before = b.addToCounter("send");
+                before = b.count("send");
             }
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(outcome);
@@ -33,17 +33,17 @@
                 b.end(k, 0, OK);
             }
         }
-        return (b.addToCounter("send") - before) / 4.0;
+        return (b.count("send") - before) / 4.0;
     }
 
     @Test
     void aFirstRequestIsClaimedAtOnceAndHeldUntilTheTotalIsKnown() {
         PolicyHarness b = new PolicyHarness().start().servers(8);
         b.arrive(1, "read", "rate", "c");
-        assertEquals(0, b.addToCounter("send"), "no part has been given yet");
-        assertEquals(1, b.addToCounter("count 1.0"), "its weight");
+        assertEquals(0, b.count("send"), "no part has been given yet");
+        assertEquals(1, b.count("count 1.0"), "its weight");
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("send 1"));
+        assertEquals(1, b.count("send 1"));
     }
 
     @Test
@@ -54,10 +54,10 @@
         }
         b.answerCounter(OK);
         b.answerCounter(OK);
-        assertEquals(8, b.addToCounter("send"), "the burst of 8");
-        long before = b.addToCounter("send");
+        assertEquals(8, b.count("send"), "the burst of 8");
+        long before = b.count("send");
         b.to(260);
-        assertTrue(b.addToCounter("send") - before >= 1 && b.addToCounter("send") - before <= 3, "D = 2 a subperiod");
+        assertTrue(b.count("send") - before >= 1 && b.count("send") - before <= 3, "D = 2 a subperiod");
     }
 
     /** All that is held was added, and most of it taken off again: two calls where none had been of use. */
@@ -68,10 +68,10 @@
             b.arrive(i, "read", "rate", "c");
         }
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("count 10.0"), "7 in the store and what comes until they are of no use");
+        assertEquals(1, b.count("count 10.0"), "7 in the store and what comes until they are of no use");
         b.answerCounter(OK);
         b.to(440);
-        assertEquals(0, b.addToCounter("count -"), "nothing to give back: " + b.log);
+        assertEquals(0, b.count("count -"), "nothing to give back: " + b.log);
     }
 
     @Test
@@ -83,8 +83,8 @@
         b.othersTook(4);
         b.answerCounter(OK);
         b.answerCounter(OK);
-        assertEquals(4, b.addToCounter("send"), "what is left of the burst");
-        assertEquals(1, b.addToCounter("count -4.0"), b.log.toString());
+        assertEquals(4, b.count("send"), "what is left of the burst");
+        assertEquals(1, b.count("count -4.0"), b.log.toString());
     }
 
     @Test
@@ -109,18 +109,18 @@
         PolicyHarness b = new PolicyHarness().start().servers(8);
         for (int i = 0; i < 200; i++) {
             b.to(i * 250);
-            b.arrive(2 * i, "read", "rate", "x" + i);
+            b.arrive(2L * i, "read", "rate", "x" + i);
             b.answerCounter(CallOutcome.RESET);
             b.arrive(2 * i + 1, "read", "rate", "y" + i);
             b.answerCounter(OK);
         }
         b.to(51_000);
         b.answerCounter(OK);
-        long before = b.addToCounter("count 1.0");
+        long before = b.count("count 1.0");
         for (int i = 1000; i < 1060; i++) {
             b.arrive(i, "read", "rate", "z" + i);
         }
-        assertTrue(b.addToCounter("count 1.0") - before >= 7, "calls: " + (b.addToCounter("count 1.0") - before));
+        assertTrue(b.count("count 1.0") - before >= 7, "calls: " + (b.count("count 1.0") - before));
     }
 
     /** A give-back that was turned away was added once more in place of taken off with the next call. */
@@ -173,14 +173,14 @@
             b.answerCounter(CallOutcome.RESET);
         }
         b.arrive(20, "read", "rate", "y");
-        assertEquals(21, b.addToCounter("count 1.0"), "the counter is still asked");
+        assertEquals(21, b.count("count 1.0"), "the counter is still asked");
     }
 
     @Test
     void aRefusingCounterIsNotFlooded() {
         PolicyHarness b = new PolicyHarness();
         rate(b, CallOutcome.FULL, 0);
-        assertTrue(b.addToCounter("count") < 12 * 4 * 2, "calls: " + b.addToCounter("count"));
+        assertTrue(b.count("count") < 12 * 4 * 2, "calls: " + b.count("count"));
     }
 
     @Test
@@ -204,11 +204,10 @@
             b.answerCounter(OK);
             b.end(id++, 0, OK);
         }
-        long sent = all.stream().mapToLong(b -> b.addToCounter("send")).sum();
+        long sent = all.stream().mapToLong(b -> b.count("send")).sum();
         assertTrue(sent <= 8 + 8 * 20 + 2 && sent > 8 * 20 * 0.8, "burst 8 and 8 a second for 20 s: " + sent);
         assertTrue(
-                all.get(7).addToCounter("send") > sent / 8.0,
-                "weight: " + all.get(7).addToCounter("send"));
+                all.get(7).count("send") > sent / 8.0, "weight: " + all.get(7).count("send"));
     }
 
     @Test
@@ -223,7 +222,7 @@
             b.start().servers(8);
             b.module.onRequest(0, new IncomingRequest(n, "read", "rate", "c", 2000, 1, 300, 0, false));
             b.answerCounter(OK);
-            sent += b.addToCounter("send");
+            sent += b.count("send");
         }
         assertEquals(8, sent);
     }
@@ -235,14 +234,14 @@
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(OK);
         }
-        assertEquals(8, b.addToCounter("send"));
+        assertEquals(8, b.count("send"));
         b.sums.clear();
         b.to(100);
         for (int i = 10; i < 18; i++) {
             b.arrive(i, "read", "rate", "c");
             b.answerCounter(OK);
         }
-        assertTrue(b.addToCounter("send") <= 9, "sent " + b.addToCounter("send"));
+        assertTrue(b.count("send") <= 9, "sent " + b.count("send"));
     }
 
     /** The plan of a customer's first request was that of all its later ones. */
@@ -255,10 +254,10 @@
         }
         b.arrive(10, "read", "big", "c", 3, 2);
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("send 10"), "a thousand units a second: " + b.log);
+        assertEquals(1, b.count("send 10"), "a thousand units a second: " + b.log);
         b.arrive(11, "read", "rate", "c");
         b.answerCounter(OK);
-        assertEquals(0, b.addToCounter("send 11"), "the burst of 8 is used up");
+        assertEquals(0, b.count("send 11"), "the burst of 8 is used up");
     }
 
     @Test
@@ -267,9 +266,9 @@
         b.arrive(1, "read", "rate", "c");
         b.answerCounter(CallOutcome.TIMEOUT);
         b.to(300);
-        assertEquals(1, b.addToCounter("count 0.0"), "the weight is on the counter already");
+        assertEquals(1, b.count("count 0.0"), "the weight is on the counter already");
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("send 1"));
+        assertEquals(1, b.count("send 1"));
     }
 
     @Test
@@ -280,14 +279,14 @@
         for (int i = 0; i < 12; i++) {
             b.arrive(i, "read", "rate", "c" + i);
         }
-        assertEquals(1, b.addToCounter("count 1.0"));
-        assertEquals(0, b.addToCounter("send"), "nothing was read of any of them: a call is waited for");
+        assertEquals(1, b.count("count 1.0"));
+        assertEquals(0, b.count("send"), "nothing was read of any of them: a call is waited for");
         b.to(260);
-        assertEquals(11, b.addToCounter("send"), "none of them was ever short");
+        assertEquals(11, b.count("send"), "none of them was ever short");
         b.answerCounter(OK);
         b.log.clear();
         b.arrive(20, "read", "rate", "c5");
-        assertEquals(1, b.addToCounter("count 2.0"), "the one sent by belief and this one");
+        assertEquals(1, b.count("count 2.0"), "the one sent by belief and this one");
     }
 
     /** Fourteen gateways each called anew while their late calls stood in line: half of all were late. */
@@ -300,12 +299,12 @@
             b.arrive(i, "read", "rate", "c" + i);
         }
         b.to(50);
-        assertEquals(1, b.addToCounter("count"));
+        assertEquals(1, b.count("count"));
         b.answerCounter(CallOutcome.TIMEOUT);
         b.to(74);
-        assertEquals(1, b.addToCounter("count"), "nothing new for half of the limit of 50 ms: " + b.log);
+        assertEquals(1, b.count("count"), "nothing new for half of the limit of 50 ms: " + b.log);
         b.to(126);
-        assertEquals(2, b.addToCounter("count"), "and the next by itself soon behind: " + b.log);
+        assertEquals(2, b.count("count"), "and the next by itself soon behind: " + b.log);
     }
 
     /** Sixty gateways with one call out each: two in three were late, as the counter had a line of them. */
@@ -327,18 +326,18 @@
             b.arrive(i, "read", "rate", "c" + i);
             b.answerCounter(CallOutcome.TIMEOUT);
         }
-        while (b.addToCounter("count") == 0 || b.calls.isEmpty()) {
+        while (b.count("count") == 0 || b.calls.isEmpty()) {
             b.to(b.now + 20);
             b.arrive((long) b.now, "read", "rate", "d" + b.now);
         }
         b.answerCounter(OK);
-        long before = b.addToCounter("count");
+        long before = b.count("count");
         for (int i = 0; i < 100; i++) {
             b.to(b.now + 10);
             b.arrive(100_000 + i, "read", "rate", "e" + i);
             b.answerCounter(OK);
         }
-        assertTrue(b.addToCounter("count") - before >= 50, "in a second: " + (b.addToCounter("count") - before));
+        assertTrue(b.count("count") - before >= 50, "in a second: " + (b.count("count") - before));
     }
 
     /** In the last 2 s of 12 s of requests for customers not seen before. */
@@ -347,7 +346,7 @@
         long before = 0;
         for (double t = from; t < from + 12000; t += took) {
             b.to(t);
-            before = t < from + 10000 ? b.addToCounter("count") : before;
+            before = t < from + 10000 ? b.count("count") : before;
             b.arrive((long) t, "read", "rate", "c" + t);
             while (!b.calls.isEmpty()) {
                 long name = b.calls.remove(0)[0];
@@ -356,7 +355,7 @@
                 b.module.onCounterReply(b.now, name, OK, took, total);
             }
         }
-        return (b.addToCounter("count") - before) / 2.0;
+        return (b.count("count") - before) / 2.0;
     }
 
     /** A hundred gateways that read an empty store twice a second left the counter nothing else to do. */
@@ -377,7 +376,7 @@
             b.log.clear();
             b.to(600);
             b.arrive(3, "read", "slow", "c", 2, spread);
-            assertEquals(spread == 2 ? 1 : 0, b.addToCounter("count"), spread + ": " + b.log);
+            assertEquals(spread == 2 ? 1 : 0, b.count("count"), spread + ": " + b.log);
         }
     }
 
@@ -415,7 +414,7 @@
         }
         assertTrue(most <= 8, "out at a time: " + most);
         assertTrue(late.size() > 700, "and it is kept busy: " + late.size());
-        assertTrue(b.addToCounter("refuse") < 200, "refused though none is short: " + b.addToCounter("refuse"));
+        assertTrue(b.count("refuse") < 200, "refused though none is short: " + b.count("refuse"));
     }
 
     @Test
@@ -428,23 +427,23 @@
         b.answerCounter(OK);
         b.module.onAttemptEnded(0, 1, 0, OK, 20, true, 4, new double[0]);
         b.arrive(2, "read", "rate", "c", 1, 2);
-        assertEquals(1, b.addToCounter("count 4.0"), "the 3 more of the first request and the 1 of this one");
+        assertEquals(1, b.count("count 4.0"), "the 3 more of the first request and the 1 of this one");
     }
 
     @Test
     void openCapIsHeldByTheCount() {
         PolicyHarness b = new PolicyHarness().start().servers(8);
         b.arrive(1, "read", "open", "c");
-        assertEquals(0, b.addToCounter("send"), "not before the counter has answered");
+        assertEquals(0, b.count("send"), "not before the counter has answered");
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("send 1"));
+        assertEquals(1, b.count("send 1"));
         b.arrive(2, "read", "open", "c");
         long name = b.calls.remove(0)[0];
         b.module.onCounterReply(0, name, OK, 2, 4);
-        assertEquals(0, b.addToCounter("send 2"), "the fourth slot of three");
-        assertEquals(1, b.addToCounter("count -1.0"), "given back");
+        assertEquals(0, b.count("send 2"), "the fourth slot of three");
+        assertEquals(1, b.count("count -1.0"), "given back");
         b.end(1, 0, OK);
-        assertEquals(1, b.addToCounter("send 2"), "the slot of the first request is used again");
+        assertEquals(1, b.count("send 2"), "the slot of the first request is used again");
     }
 
     @Test
@@ -457,9 +456,9 @@
         b.log.clear();
         b.arrive(1, "read", "open", "c", 1, 100);
         b.arrive(2, "read", "open", "c", 1, 100);
-        assertEquals(1, b.addToCounter("send"), "the even part of 3 over 100 is under one");
+        assertEquals(1, b.count("send"), "the even part of 3 over 100 is under one");
         b.end(1, 0, OK);
-        assertEquals(2, b.addToCounter("send"));
+        assertEquals(2, b.count("send"));
     }
 
     @Test
@@ -470,11 +469,11 @@
         }
         b.answerCounter(OK);
         b.to(600);
-        assertTrue(b.addToCounter("refuse") > 0);
+        assertTrue(b.count("refuse") > 0);
         b.module.onRequest(b.now, new IncomingRequest(99, "read", "rate", "c", 1500, 1, 2, 0, true));
-        assertEquals(1, b.addToCounter("refuse 99"));
+        assertEquals(1, b.count("refuse 99"));
         b.module.onRequest(b.now, new IncomingRequest(98, "read", "rate", "c", 1500, 1, 2, 0, false));
-        assertEquals(0, b.addToCounter("refuse 98"));
+        assertEquals(0, b.count("refuse 98"));
     }
 
     /** Held longer, a request that is never sent has used up what its client had for another try. */
@@ -487,8 +486,8 @@
         b.answerCounter(OK);
         b.answerCounter(OK);
         b.to(300);
-        assertEquals(30, b.addToCounter("send") + b.addToCounter("refuse"), b.log.toString());
-        assertTrue(b.addToCounter("refuse") > 0);
+        assertEquals(30, b.count("send") + b.count("refuse"), b.log.toString());
+        assertTrue(b.count("refuse") > 0);
     }
 
     /** Two gateways at one counter; the arrivals are numbered on. */
@@ -509,14 +508,14 @@
         while (!b.calls.isEmpty()) {
             b.answerCounter(OK);
         }
-        long before = b.addToCounter("send");
+        long before = b.count("send");
         for (int i = 0; i < requests; i++) {
-            b.arrive((long) time * 100 + i, "read", "rate", "c");
+            b.arrive((long) (time * 100 + i), "read", "rate", "c");
         }
         while (!b.calls.isEmpty()) {
             b.answerCounter(OK);
         }
-        return b.addToCounter("send") - before;
+        return b.count("send") - before;
     }
 
     /** What a full store did not take in stayed on the name: each gateway in turn took it for room. */
@@ -550,7 +549,7 @@
                     .count();
         }
         assertEquals(1, corrections, "what the quota has filled in 20 s");
-        assertEquals(4, all.stream().mapToLong(b -> b.addToCounter("send")).sum());
+        assertEquals(4, all.stream().mapToLong(b -> b.count("send")).sum());
     }
 
     /** At a new name the gateway that had read the old one longest ago took its reading for the store's. */
@@ -586,7 +585,7 @@
                 both.forEach(each -> each.log.clear());
             }
         }
-        long sent = both.get(0).addToCounter("send") + both.get(1).addToCounter("send");
+        long sent = both.get(0).count("send") + both.get(1).count("send");
         assertTrue(sent > 50 && sent <= 8 * 8 + 2, "8 a second for 8 s: " + sent);
     }
 
@@ -608,9 +607,9 @@
                 both.get(0).end(k, 0, OK);
                 both.get(1).end(k, 0, OK);
             }
-            before = t == 8000 ? both.get(1).addToCounter("send") : before;
+            before = t == 8000 ? both.get(1).count("send") : before;
         }
-        long sent = both.get(1).addToCounter("send") - before;
+        long sent = both.get(1).count("send") - before;
         assertTrue(sent >= 3 && sent <= 9, "up to 4 a second for 2 s: " + sent);
     }
 
@@ -623,7 +622,7 @@
             CallOutcome outcome = t < 6000 || t >= 11_000 ? OK : CallOutcome.NO_CONNECTION;
             if (t == 11_000) {
                 both.get(0).sums.clear();
-                before = both.get(0).addToCounter("send") + both.get(1).addToCounter("send");
+                before = both.get(0).count("send") + both.get(1).count("send");
             }
             for (PolicyHarness b : both) {
                 b.to(t);
@@ -635,7 +634,7 @@
                 }
             }
         }
-        long sent = both.get(0).addToCounter("send") + both.get(1).addToCounter("send") - before;
+        long sent = both.get(0).count("send") + both.get(1).count("send") - before;
         assertTrue(sent >= 4 && sent <= 13, "8 a second, the store was used up: " + sent);
     }
 
@@ -684,14 +683,14 @@
         b.answerCounter(OK);
         b.answerCounter(OK);
         b.module.onRequest(0, new IncomingRequest(40, "read", "rate", "c", 1300, 1, 2, 0, false));
-        assertEquals(1, b.addToCounter("refuse 40"), "700 of its aim of 600 are over");
+        assertEquals(1, b.count("refuse 40"), "700 of its aim of 600 are over");
         b.module.onRequest(0, new IncomingRequest(41, "read", "rate", "c", 1700, 1, 2, 0, false));
-        assertEquals(0, b.addToCounter("refuse 41"), "300 are left");
+        assertEquals(0, b.count("refuse 41"), "300 are left");
         b.to(200);
-        assertEquals(1, b.addToCounter("refuse 41") + b.addToCounter("send 41"), "but not the whole aim");
+        assertEquals(1, b.count("refuse 41") + b.count("send 41"), "but not the whole aim");
         b.module.onRequest(200, new IncomingRequest(42, "read", "rate", "d", 1300, 1, 2, 0, false));
         b.answerCounter(OK);
-        assertEquals(1, b.addToCounter("send 42"), "with a full store it takes nothing from others");
+        assertEquals(1, b.count("send 42"), "with a full store it takes nothing from others");
     }
 
     @Test
--- a/src/test/java/quotagateway/scale/FleetTest.java
+++ b/src/test/java/quotagateway/scale/FleetTest.java
@@ -95,7 +95,7 @@
         for (int i = 0; i < 2 * most; i++) {
             f.nodes[0].addToCounter(i, 1, 1000);
         }
-        assertEquals(2 * most, f.counter.calls);
+        assertEquals(2L * most, f.counter.calls);
         assertTrue(f.counter.late >= most / 2 && f.counter.late <= most + 2, f.counter.late + " of " + 2 * most);
     }
 }
--- a/src/test/java/quotagateway/scale/ScaleCliTest.java
+++ b/src/test/java/quotagateway/scale/ScaleCliTest.java
@@ -1,5 +1,6 @@
 package quotagateway.scale;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,7 +32,7 @@
             int code = ScaleCli.run(args);
             return java.util.stream.Stream.concat(
                             java.util.stream.Stream.of("" + code),
-                            told.toString().lines())
+                            told.toString(UTF_8).lines())
                     .toList();
         } finally {
             System.setErr(err);
--- a/src/test/java/quotagateway/scale/capacity/CapacityTablesTest.java
+++ b/src/test/java/quotagateway/scale/capacity/CapacityTablesTest.java
@@ -134,7 +134,7 @@
                 out.lines()
                         .skip(4)
                         .filter(l -> !l.isEmpty())
-                        .map(l -> l.split("\\|")[1].strip())
+                        .map(l -> l.split("\\|", 0)[1].strip())
                         .toList());
         fixture("missing");
         assertEquals("|1|choice|missing|chooses|3|2|0", line("choice"));
--- a/src/test/java/quotagateway/scale/soak/FaultPlanTest.java
+++ b/src/test/java/quotagateway/scale/soak/FaultPlanTest.java
@@ -38,7 +38,7 @@
         }
         long overlapping = all.stream()
                 .filter(one -> all.stream()
-                        .anyMatch(other -> other != one
+                        .anyMatch(other -> !other.equals(one)
                                 && other.at() < one.at() + one.duration()
                                 && one.at() < other.at() + other.duration()))
                 .count();
--- a/src/test/java/quotagateway/scale/soak/FaultProxyTest.java
+++ b/src/test/java/quotagateway/scale/soak/FaultProxyTest.java
@@ -28,7 +28,7 @@
     @BeforeEach
     void connect() throws IOException {
         listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        proxy = new FaultProxy(new InetSocketAddress("127.0.0.1", listener.getLocalPort()));
+        proxy = new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
         near = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
         far = listener.accept();
         pass();
--- a/src/test/java/quotagateway/simulator/SimulatorHostTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorHostTest.java
@@ -1,5 +1,6 @@
 package quotagateway.simulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +22,7 @@
     private static String run(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorHost().run(new BufferedReader(new StringReader(input)), new PrintStream(out, true));
-        return out.toString();
+        return out.toString(UTF_8);
     }
 
     private static String error(String input) {
--- a/src/test/java/quotagateway/startup/JitWarmupTest.java
+++ b/src/test/java/quotagateway/startup/JitWarmupTest.java
@@ -28,7 +28,7 @@
                 config.settings(),
                 (settings, seed, time, act) -> (PolicyEvents) java.lang.reflect.Proxy.newProxyInstance(
                         getClass().getClassLoader(), new Class<?>[] {PolicyEvents.class}, (self, method, args) -> {
-                            now[0] += method.getName().equals("arrived") ? each : 0;
+                            now[0] += method.getName().equals("onRequest") ? each : 0;
                             return null;
                         }),
                 () -> now[0]);
@@ -49,11 +49,11 @@
                 config.settings(),
                 (settings, seed, now, act) -> (PolicyEvents) java.lang.reflect.Proxy.newProxyInstance(
                         getClass().getClassLoader(), new Class<?>[] {PolicyEvents.class}, (self, method, args) -> {
-                            if (method.getName().equals("arrived")) {
+                            if (method.getName().equals("onRequest")) {
                                 IncomingRequest r = (IncomingRequest) args[1];
                                 seen.add(r.requestClass() + " " + r.plan());
                                 act.sendAttempt(r.id(), "w0", 0);
-                            } else if (method.getName().equals("ended")) {
+                            } else if (method.getName().equals("onAttemptEnded")) {
                                 assertEquals(CallOutcome.OK, args[3]);
                                 ended[0]++;
                             }
--- a/src/test/java/quotagateway/startup/StartupTest.java
+++ b/src/test/java/quotagateway/startup/StartupTest.java
@@ -50,8 +50,8 @@
             // the command of the deploy file, but for the jar: it is not built yet when tests run
             List<String> command = new ArrayList<>(
                     List.of(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java"));
-            for (String word : run().substring("exec java ".length()).split(" ")) {
-                if (word.startsWith("-X") || word.startsWith("-Dio.netty") && !word.contains("$")) {
+            for (String word : run().substring("exec java ".length()).split(" ", 0)) {
+                if (word.startsWith("-X") || (word.startsWith("-Dio.netty") && !word.contains("$"))) {
                     command.add(word);
                 }
             }
