--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -56,7 +56,7 @@
     }
 
     private static void serve() throws IOException {
-        StartupTimeline.ended("JVM");
+        StartupTimeline.phaseEnded("JVM");
         begin(System.getenv());
     }
 
@@ -64,9 +64,9 @@
     private static void recordStartup() throws IOException {
         try (StartupRecording stage = new StartupRecording()) {
             HANGUP.caught();
-            StartupTimeline.ended("JVM");
+            StartupTimeline.phaseEnded("JVM");
             GatewayNode node = begin(stage.environment());
-            stage.ask((InetSocketAddress) node.address(), (InetSocketAddress) node.control());
+            stage.ask((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
             System.exit(0); // the archive is written at the exit, after the drain
         }
     }
@@ -82,20 +82,20 @@
             System.exit(2);
             return null;
         }
-        StartupTimeline.ended("configuration");
+        StartupTimeline.phaseEnded("configuration");
         JitWarmup.run(config.settings(), Policy::new);
-        StartupTimeline.ended("warm-up");
+        StartupTimeline.phaseEnded("warm-up");
         GatewayNode node = new GatewayNode(config, Policy::new);
         Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain")); // SIGTERM may cross the bind
         // before the bind: who sees the node come up may send the signal in that moment
-        HANGUP.to(() -> node.reload(() -> GatewayConfig.again(System.getenv())));
+        HANGUP.to(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
         try {
-            node.start(StartupTimeline.spent());
+            node.start(StartupTimeline.elapsedMs());
         } catch (IOException bad) {
             System.err.println("start: " + bad.getMessage());
             Runtime.getRuntime().halt(1); // nothing was taken: there is nothing to drain
         }
-        StartupTimeline.tell("bind");
+        StartupTimeline.log("bind");
         return node;
     }
 }
--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -53,7 +53,7 @@
     private static final int HEAD = 4096;
     private static final int BODY = 1024;
     /** So many callers at a time: scrapes and calls by hand are few, and the sockets are the clients'. */
-    public static final int MOST = 16;
+    public static final int MAX_CONNECTIONS = 16;
     /** From accept to the end of a connection (ms); an answer is due within 1 s. */
     private static final double LIFE = 2000;
 
@@ -115,7 +115,7 @@
                         new Caller(channel));
         open.add(channel);
         silent.add(channel);
-        if (open.size() > MOST) { // who has not finished its call goes first, then who was answered
+        if (open.size() > MAX_CONNECTIONS) { // who has not finished its call goes first, then who was answered
             (silent.size() > 1 ? silent : open).iterator().next().close();
         }
         loop.schedule(LIFE, channel::close);
--- a/src/main/java/quotagateway/admin/Metrics.java
+++ b/src/main/java/quotagateway/admin/Metrics.java
@@ -25,7 +25,7 @@
 
     private final List<String> classes = new ArrayList<>();
     private final List<Map<RequestOutcome, Long>> operations = new ArrayList<>();
-    private long relayed;
+    private long countForwarded;
     /** Counts by reason stand in the text from their first one on. */
     private final Map<FailureReason, Long> refusals = new EnumMap<>(FailureReason.class);
 
@@ -48,7 +48,7 @@
     }
 
     /** A request has its one answer. A class that the settings lack would be a label of a client's making. */
-    public void ended(String type, RequestOutcome outcome) {
+    public void countCompleted(String type, RequestOutcome outcome) {
         int i = classes.indexOf(type);
         if (i >= 0) {
             operations.get(i).merge(outcome, 1L, Long::sum);
@@ -56,41 +56,41 @@
     }
 
     /** An attempt's last byte is written. */
-    public void relayed() {
-        relayed++;
+    public void countForwarded() {
+        countForwarded++;
     }
 
     /** A request was refused or failed, for this reason; null where the module told none. */
-    public void unserved(RequestOutcome outcome, FailureReason reason) {
+    public void countUnserved(RequestOutcome outcome, FailureReason reason) {
         if (reason != null) {
             (outcome == RequestOutcome.THROTTLED ? refusals : failures).merge(reason, 1L, Long::sum);
         }
     }
 
     /** A further attempt goes out behind one that ended so. */
-    public void retried(CallOutcome after) {
+    public void countRetry(CallOutcome after) {
         retries.merge(after, 1L, Long::sum);
     }
 
     /** An attempt was not written after all. */
-    public void denied(SendDenial denial) {
+    public void countDenied(SendDenial denial) {
         denials.merge(denial, 1L, Long::sum);
     }
 
     /** What should hold at any time did not. */
-    public void violated(Invariant invariant) {
+    public void countViolation(Invariant invariant) {
         violations.merge(invariant, 1L, Long::sum);
     }
 
-    public void clientClosed(CloseReason reason) {
+    public void countClientClosed(CloseReason reason) {
         clientCloses.merge(reason, 1L, Long::sum);
     }
 
-    public void serverClosed(CloseReason reason) {
+    public void countEndpointClosed(CloseReason reason) {
         serverCloses.merge(reason, 1L, Long::sum);
     }
 
-    public String text(int openRequests, int registryEntries, int outOfRotation) {
+    public String render(int openRequests, int registryEntries, int outOfRotation) {
         StringBuilder text = new StringBuilder();
         head(text, "operations_total", "counter", "Requests ended, by class and outcome.");
         for (int i = 0; i < classes.size(); i++) {
@@ -105,7 +105,7 @@
                         .append('\n');
             }
         }
-        single(text, "relayed_total", "counter", "Attempts written whole to place servers.", relayed);
+        single(text, "relayed_total", "counter", "Attempts written whole to place servers.", countForwarded);
         single(text, "open_requests", "gauge", "Requests taken and not ended yet.", openRequests);
         single(text, "registry_entries", "gauge", "Place servers in the list.", registryEntries);
         single(
--- a/src/main/java/quotagateway/client/ClientCommand.java
+++ b/src/main/java/quotagateway/client/ClientCommand.java
@@ -10,19 +10,19 @@
 import quotagateway.policy.api.Idempotency;
 import quotagateway.policy.api.PolicySettings;
 import quotagateway.policy.api.RequestClass;
-import quotagateway.resp.Resp;
+import quotagateway.resp.RespCodec;
 
 /** A client's call as read: what the module is told of it, and its list of names and values round d. */
 public record ClientCommand(
         String customer,
         String id,
-        String type,
+        String requestClass,
         String plan,
-        double patience,
+        double clientTimeoutMs,
         int units,
-        int spread,
-        int first,
-        boolean again,
+        int gatewayCount,
+        int firstGateway,
+        boolean retry,
         String beforeWait,
         String afterWait) {
 
@@ -39,7 +39,7 @@
     private static final Pattern WAIT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     /** Throws IllegalArgumentException with what is wrong; sets and units are held against the settings. */
-    public static ClientCommand of(ArrayRedisMessage command, PolicySettings settings) {
+    public static ClientCommand parse(ArrayRedisMessage command, PolicySettings settings) {
         List<RedisMessage> parts = command.children();
         if (parts.size() <= LIST || parts.size() > BODY + 1) {
             throw new IllegalArgumentException("wrong number of arguments");
@@ -49,12 +49,12 @@
                 throw new IllegalArgumentException("bulk strings expected");
             }
         }
-        String customer = Resp.text(parts.get(CUSTOMER));
-        String id = Resp.text(parts.get(ID));
+        String customer = RespCodec.text(parts.get(CUSTOMER));
+        String id = RespCodec.text(parts.get(ID));
         if (!KEY.matcher(customer).matches() || id.isEmpty() || id.length() > 64) {
             throw new IllegalArgumentException("customer or id is malformed");
         }
-        String list = Resp.text(parts.get(LIST));
+        String list = RespCodec.text(parts.get(LIST));
         String type = null;
         String plan = null;
         double wait = Double.NaN;
@@ -100,7 +100,7 @@
                 || first >= settings.nodeCount()) {
             throw new IllegalArgumentException("units or set out of range");
         }
-        boolean get = Resp.text(parts.get(0)).endsWith("GET");
+        boolean get = RespCodec.text(parts.get(0)).endsWith("GET");
         for (RequestClass c : settings.requestClasses()) {
             if (c.name().equals(type)
                     && (get != (c.idempotency() == Idempotency.IDEMPOTENT)
@@ -130,12 +130,12 @@
     }
 
     /** The command as it goes on: unchanged, but d tells what is left. */
-    public ArrayRedisMessage forward(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
+    public ArrayRedisMessage encodeForEndpoint(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
         List<RedisMessage> parts = new ArrayList<>(command.children().size());
         for (int i = 0; i < command.children().size(); i++) {
             parts.add(
                     i == LIST
-                            ? Resp.bulk(alloc, beforeWait + Math.max(1, (long) left) + afterWait)
+                            ? RespCodec.bulk(alloc, beforeWait + Math.max(1, (long) left) + afterWait)
                             : ((FullBulkStringRedisMessage) command.children().get(i)).retainedDuplicate());
         }
         return new ArrayRedisMessage(parts);
--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -28,7 +28,9 @@
 import java.util.concurrent.TimeUnit;
 import quotagateway.lifecycle.CloseReason;
 import quotagateway.log.NodeEvent;
-import quotagateway.resp.Resp;
+import quotagateway.resp.LargeValueHandler;
+import quotagateway.resp.RespCodec;
+import quotagateway.resp.RespFrameTracker;
 import quotagateway.streaming.RequestBody;
 import quotagateway.transport.AcceptFailureHandler;
 import quotagateway.transport.EventLoopContext;
@@ -120,7 +122,7 @@
                     protected void initChannel(SocketChannel channel) {
                         ClientConnection c = new ClientConnection(channel);
                         channel.pipeline().addLast(c.ahead);
-                        c.raw = Resp.codec(channel.pipeline(), MOST_WORDS, c);
+                        c.raw = RespCodec.codec(channel.pipeline(), MOST_WORDS, c);
                         channel.pipeline().addLast(c);
                         open.add(c);
                         silent.add(c);
@@ -167,7 +169,7 @@
     }
 
     /** From now on so many connections are held at the most. */
-    public void bound(int connections) {
+    public void limitConnections(int connections) {
         most = connections;
     }
 
@@ -180,7 +182,7 @@
         loop.schedule(SWEEP, this::sweep);
         double before = loop.now() - PATIENCE;
         for (ClientConnection c : open.toArray(new ClientConnection[0])) {
-            if (!c.deaf && (c.slots.isEmpty() || (c.body != null && c.body.wants())) && c.silentFrom < before) {
+            if (!c.deaf && (c.slots.isEmpty() || (c.body != null && c.body.wantsMore())) && c.silentFrom < before) {
                 c.malformed("no whole command came");
             }
         }
@@ -200,7 +202,7 @@
     }
 
     private void accept() {
-        boolean room = open.size() < most + beyond(most);
+        boolean room = open.size() < most + connectionsBeyondLimit(most);
         listener.config().setAutoRead(unbinding || room);
         if (!room && !full) {
             full = true;
@@ -212,7 +214,7 @@
     }
 
     /** Connections that are held beyond the bound while it is looked for one to make room. */
-    public static int beyond(int most) {
+    public static int connectionsBeyondLimit(int most) {
         return Math.max(1, most / 16);
     }
 
@@ -239,7 +241,7 @@
     }
 
     /** From now on each connection ends behind its next answer. */
-    public void close() {
+    public void closeAfterResponses() {
         closing = true;
     }
 
@@ -262,14 +264,14 @@
      * Ends each connection that has no request open, as the process is about to end: half a command is told
      * so, for its client would never hear what becomes of the rest.
      */
-    public void endAll() {
+    public void closeAll() {
         for (ClientConnection c : open.toArray(new ClientConnection[0])) {
             c.endNow();
         }
     }
 
     /** Listens no more, from the next moment on at which no connection waits to be accepted. */
-    public void unbind() {
+    public void stopListening() {
         unbinding = true;
         listener.config().setAutoRead(true);
         loop.schedule(QUIET, this::closeWhenEmpty);
@@ -287,18 +289,18 @@
         });
     }
 
-    public boolean idle() {
+    public boolean isIdle() {
         return open.isEmpty() && leaving.isEmpty();
     }
 
     /** Reads on where connections were held back for memory. */
-    public void resume() {
+    public void resumeReading() {
         for (ClientConnection c : open.toArray(new ClientConnection[0])) {
             c.hold();
         }
     }
 
-    final class ClientConnection extends ChannelInboundHandlerAdapter implements Resp.LargeValue {
+    final class ClientConnection extends ChannelInboundHandlerAdapter implements LargeValueHandler {
         final SocketChannel channel;
         final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>();
         private final double bornAt = loop.now();
@@ -308,7 +310,7 @@
 
         int commands;
         private CloseReason closeReason = CloseReason.CLOSED_BY_PEER;
-        private Resp.Raw raw;
+        private RespFrameTracker raw;
         /** Since when a whole command is waited for; never where none has begun. */
         private double silentFrom = bornAt;
         /** The large value that comes, and its command until enough has come to take that. */
@@ -334,7 +336,7 @@
                 ReferenceCountUtil.release(msg);
                 return;
             }
-            raw.whole((RedisMessage) msg);
+            raw.onMessageComplete((RedisMessage) msg);
             silent.remove(this);
             silentFrom = Double.MAX_VALUE;
             if (slots.isEmpty()) {
@@ -349,7 +351,7 @@
                         && !command.children().isEmpty()) {
                     command(slot, command);
                 } else {
-                    slot.answer(new ErrorRedisMessage("ERR a command expected"));
+                    slot.respond(new ErrorRedisMessage("ERR a command expected"));
                 }
             } finally {
                 ReferenceCountUtil.release(msg);
@@ -358,7 +360,7 @@
         }
 
         private void command(ResponseSlot slot, ArrayRedisMessage command) {
-            String verb = Resp.text(command.children().get(0));
+            String verb = RespCodec.text(command.children().get(0));
             if ("CALL.GET".equals(verb) || "CALL.POST".equals(verb)) {
                 if (body != null) {
                     bodySlot = slot;
@@ -368,18 +370,18 @@
                     take(slot, command, null);
                 }
             } else if ("PING".equalsIgnoreCase(verb)) {
-                slot.answer(new SimpleStringRedisMessage("PONG"));
+                slot.respond(new SimpleStringRedisMessage("PONG"));
             } else {
-                slot.answer(new ErrorRedisMessage("ERR unknown command"));
+                slot.respond(new ErrorRedisMessage("ERR unknown command"));
             }
         }
 
         private void take(ResponseSlot slot, ArrayRedisMessage command, RequestBody with) {
             String wrong = requests.acceptCommand(slot, command, with);
             if (wrong != null) {
-                slot.answer(new ErrorRedisMessage("ERR " + wrong));
+                slot.respond(new ErrorRedisMessage("ERR " + wrong));
                 if (with != null) {
-                    with.drop();
+                    with.discard();
                 }
             }
         }
@@ -387,12 +389,12 @@
         // ---- a large value ----
 
         @Override
-        public int place() {
+        public int argumentIndex() {
             return BODY;
         }
 
         @Override
-        public boolean begins(int length) {
+        public boolean onValueStarted(int length) {
             if (deaf) {
                 return false;
             }
@@ -402,17 +404,17 @@
         }
 
         @Override
-        public void content(ByteBuf part, boolean last) {
+        public void onValueContent(ByteBuf part, boolean last) {
             RequestBody b = body;
             if (last) {
                 body = null;
             }
             silentFrom = last ? Double.MAX_VALUE : loop.now();
             if (deaf || !bodyOwned) { // of no request: the command was answered without it
-                b.drop();
+                b.discard();
             }
             b.content(part);
-            if (bodyCommand != null && (b.begun() || requests.isMemoryExhausted())) {
+            if (bodyCommand != null && (b.isReadyToForward() || requests.isMemoryExhausted())) {
                 ArrayRedisMessage command = bodyCommand;
                 bodyCommand = null;
                 take(bodySlot, command, b);
@@ -425,7 +427,7 @@
             boolean take = deaf
                     || (slots.size() < PIPELINED
                             && channel.isWritable()
-                            && (body == null ? !requests.isMemoryExhausted() : body.wants()));
+                            && (body == null ? !requests.isMemoryExhausted() : body.wantsMore()));
             if (ahead.held() == take) {
                 ahead.hold(!take);
                 if (take && body != null) {
@@ -439,8 +441,8 @@
                 channel.write(slots.poll().answer, channel.voidPromise());
                 loop.flushLater(channel);
             }
-            if (!slots.isEmpty() && slots.peek().stream != null) {
-                slots.peek().stream.turn(channel);
+            if (!slots.isEmpty() && slots.peek().streamFrom != null) {
+                slots.peek().streamFrom.startWriting(channel);
             }
             if (slots.isEmpty() && (deaf || (closing && !begun()))) {
                 finish(CloseReason.SHUTDOWN_ANSWERED);
@@ -452,7 +454,7 @@
 
         /** Something has come that is no whole command yet, or has not been looked at. */
         private boolean begun() {
-            return raw.pending != 0 || !ahead.isEmpty();
+            return raw.pendingBytes != 0 || !ahead.isEmpty();
         }
 
         /** Bytes written and not taken over by the system, as the client reads slowly. */
@@ -470,7 +472,7 @@
             silent.remove(this);
             leaving.add(this);
             finish(CloseReason.EVICTED);
-            if (leaving.size() > beyond(most)) {
+            if (leaving.size() > connectionsBeyondLimit(most)) {
                 ClientConnection first = leaving.iterator().next();
                 leaving.remove(first); // its end is told later
                 first.close(CloseReason.EVICTED);
@@ -548,7 +550,7 @@
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (body != null) {
                 silentFrom = loop.now();
-            } else if (raw.pending == 0) {
+            } else if (raw.pendingBytes == 0) {
                 silentFrom = silent.contains(this) ? silentFrom : Double.MAX_VALUE;
             } else if (silentFrom == Double.MAX_VALUE) {
                 silentFrom = loop.now();
@@ -560,15 +562,15 @@
             ReferenceCountUtil.release(bodyCommand);
             bodyCommand = null;
             if (body != null) {
-                body.drop();
+                body.discard();
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             hold();
-            if (!slots.isEmpty() && slots.peek().stream != null) {
-                slots.peek().stream.pace();
+            if (!slots.isEmpty() && slots.peek().streamFrom != null) {
+                slots.peek().streamFrom.updateReading();
             }
         }
 
@@ -578,7 +580,7 @@
             silent.remove(this);
             leaving.remove(this);
             requests.onClientConnectionClosed(
-                    new NodeEvent.ClientClosed(number, closeReason, age(), commands, slots.size()));
+                    new NodeEvent.ClientConnectionClosed(number, closeReason, age(), commands, slots.size()));
             abandon();
             room();
             loop.flush();
@@ -593,8 +595,8 @@
                 if (slot.request != null) {
                     slot.request.onClientDisconnected();
                 }
-                if (slot.stream != null) {
-                    slot.stream.abandoned();
+                if (slot.streamFrom != null) {
+                    slot.streamFrom.onClientDisconnected();
                 }
             }
         }
@@ -626,7 +628,7 @@
                         slot.request.onConnectionMalformed();
                     }
                 }
-                last.answer(new ErrorRedisMessage("ERR " + what));
+                last.respond(new ErrorRedisMessage("ERR " + what));
             }
             loop.flush();
         }
--- a/src/main/java/quotagateway/client/ClientRequestHandler.java
+++ b/src/main/java/quotagateway/client/ClientRequestHandler.java
@@ -23,5 +23,5 @@
     boolean mayClose(CloseReason reason, int openRequests);
 
     /** A client's connection has ended. */
-    void onClientConnectionClosed(NodeEvent.ClientClosed closed);
+    void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed);
 }
--- a/src/main/java/quotagateway/client/ResponseSlot.java
+++ b/src/main/java/quotagateway/client/ResponseSlot.java
@@ -6,54 +6,54 @@
 
 /** The place of one command's answer on its connection. */
 public final class ResponseSlot implements ResponseSink {
-    private final ClientListener.ClientConnection connection;
+    private final ClientListener.ClientConnection connectionId;
     RedisMessage answer;
-    StreamedResponse stream;
+    StreamedResponse streamFrom;
     private final int commandsBefore;
     public ClientRequest request;
 
     ResponseSlot(ClientListener.ClientConnection connection) {
-        this.connection = connection;
+        this.connectionId = connection;
         commandsBefore = connection.commands++;
     }
 
     /** Gives the one answer; it is written once those before it are. */
     @Override
-    public void answer(RedisMessage message) {
+    public void respond(RedisMessage message) {
         answer = message;
-        stream = null;
-        connection.drain();
+        streamFrom = null;
+        connectionId.drain();
     }
 
     /** The answer comes bit by bit, from its turn on. */
-    public void stream(StreamedResponse value) {
-        stream = value;
-        connection.drain();
+    public void streamFrom(StreamedResponse value) {
+        streamFrom = value;
+        connectionId.drain();
     }
 
     /** The rest of it does not come: an end of the connection is the only way to tell the client. */
     @Override
-    public void brokenOff() {
-        stream = null;
-        connection.breakOff();
+    public void abort() {
+        streamFrom = null;
+        connectionId.breakOff();
     }
 
     /** Its last bit is written. */
     @Override
-    public void streamed() {
-        connection.slots.remove(this);
-        stream = null;
-        connection.drain();
+    public void onStreamCompleted() {
+        connectionId.slots.remove(this);
+        streamFrom = null;
+        connectionId.drain();
     }
 
     /** Names the connection in the event log. */
-    public long connection() {
-        return connection.number;
+    public long connectionId() {
+        return connectionId.number;
     }
 
     /** How old (ms) the connection is. */
     public double connectionAge() {
-        return connection.age();
+        return connectionId.age();
     }
 
     /** Whole commands that came on the connection before this one. */
@@ -63,11 +63,11 @@
 
     /** No request waits here for its answer, nor does the rest of a value. */
     boolean isNoRequest() {
-        return request == null && stream == null;
+        return request == null && streamFrom == null;
     }
 
     /** The client has gone, also where that has not been told yet: a round may bring many ends. */
-    public boolean isClosed() {
-        return !connection.channel.isActive();
+    public boolean isDisconnected() {
+        return !connectionId.channel.isActive();
     }
 }
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -16,18 +16,18 @@
  */
 public record GatewayConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
-        InetSocketAddress counter,
-        InetSocketAddress control,
-        Path folder,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
+        InetSocketAddress counterAddress,
+        InetSocketAddress adminAddress,
+        Path stateDirectory,
         long seed,
-        int sockets,
-        CachedEndpointList known,
+        int maxSockets,
+        CachedEndpointList cachedEndpoints,
         PolicySettings settings,
-        double keepAlive,
-        double connectTimeout,
-        int servers) {
+        double keepAliveMs,
+        double connectTimeoutMs,
+        int maxEndpoints) {
 
     /** Where the settings say nothing of connections. */
     private static final double KEEP_ALIVE = 15_000;
@@ -52,7 +52,7 @@
     }
 
     /** The file as it is now, for a running edge node: the variables are those of its start. */
-    public static GatewayConfig again(Map<String, String> env) throws IOException {
+    public static GatewayConfig reload(Map<String, String> env) throws IOException {
         Map<String, String> rest = new HashMap<>(env);
         rest.remove("EDGE_DISCOVERY");
         return fromEnvironment(rest);
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -22,7 +22,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.regex.Pattern;
 import quotagateway.policy.api.CallOutcome;
-import quotagateway.resp.Resp;
+import quotagateway.resp.RespCodec;
+import quotagateway.resp.RespFrameTracker;
 import quotagateway.transport.EventLoopContext;
 import quotagateway.transport.Transport;
 
@@ -114,7 +115,7 @@
     }
 
     /** A new address: the old lines serve until the new ones are up; what is out may be answered. */
-    public void move(InetSocketAddress to) {
+    public void reconnectTo(InetSocketAddress to) {
         if (to == null || to.equals(address)) {
             return;
         }
@@ -182,7 +183,7 @@
     private void expire() {
         while (!untold.isEmpty() && (untold.peek().told || untold.peek().sent + limit <= loop.now())) {
             Call call = untold.poll();
-            if (!call.told && call.line.channel != null && call.line.raw.pending != 0) {
+            if (!call.told && call.line.channel != null && call.line.raw.pendingBytes != 0) {
                 call.line.spoilt(); // half an answer, and no more of it
             }
             tell(call, call.line.waiting.remove(call) == null ? CallOutcome.TIMEOUT : CallOutcome.NO_CONNECTION, 0);
@@ -229,7 +230,7 @@
         private double backoff;
         private double usedAt;
         private boolean ending;
-        private Resp.Raw raw;
+        private RespFrameTracker raw;
 
         Line(InetSocketAddress at) {
             this.at = at;
@@ -271,7 +272,7 @@
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
-                            raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS);
+                            raw = RespCodec.codec(channel.pipeline(), MOST_ELEMENTS);
                             channel.pipeline().addLast(new Answers());
                         }
                     })
@@ -312,7 +313,7 @@
         void write(Call call, String... words) {
             calls.add(call);
             usedAt = call.sent;
-            channel.write(Resp.command(channel.alloc(), words)).addListener(f -> call.written = f.isSuccess());
+            channel.write(RespCodec.command(channel.alloc(), words)).addListener(f -> call.written = f.isSuccess());
             loop.flushLater(channel);
         }
 
@@ -320,7 +321,7 @@
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object msg) {
                 try {
-                    raw.whole((RedisMessage) msg);
+                    raw.onMessageComplete((RedisMessage) msg);
                     ends = 0;
                     Call call = calls.poll(); // late or not: each answer belongs to the oldest call
                     if (call == null) {
@@ -353,7 +354,7 @@
                     tell(call, CallOutcome.FULL, 0); // nothing was added
                     return true;
                 }
-                String total = Resp.isValue(msg) ? Resp.text(msg) : "";
+                String total = RespCodec.isValue(msg) ? RespCodec.text(msg) : "";
                 if (NUMBER.matcher(total).matches()) {
                     tell(call, CallOutcome.OK, Double.parseDouble(total));
                     return true;
--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -126,9 +126,9 @@
         this.loop = loop;
         this.listener = listener;
         this.connector = connector;
-        address = config.discovery();
+        address = config.discoveryAddress();
         random = new SplittableRandom(config.seed());
-        most = config.servers();
+        most = config.maxEndpoints();
     }
 
     public static Connector sockets(EventLoopGroup group) {
@@ -167,7 +167,7 @@
     }
 
     /** A new address: its versions are its own, so the whole list is fetched; the old watch stays so long. */
-    public void move(InetSocketAddress to) {
+    public void reconnectTo(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
--- a/src/main/java/quotagateway/log/EventLog.java
+++ b/src/main/java/quotagateway/log/EventLog.java
@@ -39,14 +39,14 @@
     }
 
     /** From here on events are written as they happen. */
-    public void writeAll() {
+    public void writeImmediately() {
         live = true;
     }
 
     /** Takes an event; at is Unix time (ms) by the node's clock. A violation is written at once. */
-    public void add(double at, NodeEvent event) {
+    public void record(double at, NodeEvent event) {
         Entry entry = new Entry(at, event);
-        if (live || event instanceof NodeEvent.Violation) {
+        if (live || event instanceof NodeEvent.InvariantViolated) {
             write(entry);
             return;
         }
--- a/src/main/java/quotagateway/log/NodeEvent.java
+++ b/src/main/java/quotagateway/log/NodeEvent.java
@@ -25,7 +25,7 @@
     }
 
     /** The node has entered a state; bound tells how long until all answers are due, 0 for no such time. */
-    record State(NodeState to, double bound) implements NodeEvent {
+    record StateEntered(NodeState to, double bound) implements NodeEvent {
         @Override
         public String text() {
             return "state to=" + to + (bound > 0 ? " answers_due_in=" + Math.round(bound) : "");
@@ -33,7 +33,7 @@
     }
 
     /** A request was taken on a client's connection of this age, which had sent so many commands before. */
-    record Taken(String request, String type, long connection, double age, int commands, double patience)
+    record RequestAccepted(String request, String type, long connection, double age, int commands, double patience)
             implements NodeEvent {
         @Override
         public String text() {
@@ -43,7 +43,7 @@
     }
 
     /** An attempt goes out; after is the outcome of the one before it, null for the first. */
-    record Sent(String request, int attempt, String server, CallOutcome after) implements NodeEvent {
+    record AttemptSent(String request, int attempt, String server, CallOutcome after) implements NodeEvent {
         @Override
         public String text() {
             return "sent request=" + request + " attempt=" + attempt + " server=" + server
@@ -52,7 +52,8 @@
     }
 
     /** An attempt has ended, so long after it began. */
-    record Ended(String request, int attempt, String server, CallOutcome outcome, double took) implements NodeEvent {
+    record AttemptEnded(String request, int attempt, String server, CallOutcome outcome, double took)
+            implements NodeEvent {
         @Override
         public String text() {
             return "ended request=" + request + " attempt=" + attempt + " server=" + server + " outcome=" + outcome
@@ -61,7 +62,7 @@
     }
 
     /** A request has its final answer; reason tells why it was not served, and is null where it was. */
-    record Answered(String request, RequestOutcome outcome, FailureReason reason) implements NodeEvent {
+    record RequestCompleted(String request, RequestOutcome outcome, FailureReason reason) implements NodeEvent {
         @Override
         public String text() {
             return "answered request=" + request + " outcome=" + outcome + (reason == null ? "" : " reason=" + reason);
@@ -69,7 +70,7 @@
     }
 
     /** The client of a request has gone. */
-    record Abandoned(String request) implements NodeEvent {
+    record RequestAbandoned(String request) implements NodeEvent {
         @Override
         public String text() {
             return "abandoned request=" + request;
@@ -77,7 +78,7 @@
     }
 
     /** A client's connection has ended, with so many commands unanswered. */
-    record ClientClosed(long connection, CloseReason reason, double age, int commands, int unanswered)
+    record ClientConnectionClosed(long connection, CloseReason reason, double age, int commands, int unanswered)
             implements NodeEvent {
         @Override
         public String text() {
@@ -87,7 +88,7 @@
     }
 
     /** A connection to a place server has ended. */
-    record ServerClosed(String server, CloseReason reason) implements NodeEvent {
+    record EndpointConnectionClosed(String server, CloseReason reason) implements NodeEvent {
         @Override
         public String text() {
             return "server_closed server=" + server + " reason=" + reason;
@@ -116,7 +117,7 @@
     }
 
     /** A place server wants nothing new, or has gone, as discovery tells. */
-    record ServerLeaves(String server, EndpointState state) implements NodeEvent {
+    record EndpointLeaving(String server, EndpointState state) implements NodeEvent {
         @Override
         public String text() {
             return "server_leaves server=" + server + " state=" + state;
@@ -124,7 +125,7 @@
     }
 
     /** An attempt was not written, though the module had decided on it. */
-    record Denied(String request, int attempt, SendDenial denial) implements NodeEvent {
+    record AttemptDenied(String request, int attempt, SendDenial denial) implements NodeEvent {
         @Override
         public String text() {
             return "denied request=" + request + " attempt=" + attempt + " reason=" + denial;
@@ -132,7 +133,7 @@
     }
 
     /** What should hold at any time did not; request is null where it is about none. */
-    record Violation(Invariant invariant, String request) implements NodeEvent {
+    record InvariantViolated(Invariant invariant, String request) implements NodeEvent {
         @Override
         public String text() {
             return "violation invariant=" + invariant + (request == null ? "" : " request=" + request);
@@ -140,7 +141,7 @@
     }
 
     /** The event loop ran a timer so long after it was due. */
-    record LoopLate(double by) implements NodeEvent {
+    record EventLoopLate(double by) implements NodeEvent {
         @Override
         public String text() {
             return "loop_late by=" + Math.round(by);
--- a/src/main/java/quotagateway/node/ActiveRequest.java
+++ b/src/main/java/quotagateway/node/ActiveRequest.java
@@ -58,7 +58,7 @@
         this.command = command;
         this.parsed = call;
         this.deadline = deadline;
-        int sum = body == null ? 0 : RequestBody.KEPT;
+        int sum = body == null ? 0 : RequestBody.MAX_BUFFERED_BYTES;
         for (RedisMessage part : command.children()) {
             sum += ((FullBulkStringRedisMessage) part).content().readableBytes();
         }
@@ -67,7 +67,7 @@
 
     @Override
     public ArrayRedisMessage encode(ByteBufAllocator allocator) {
-        return parsed.forward(command, deadline - node.now(), allocator);
+        return parsed.encodeForEndpoint(command, deadline - node.now(), allocator);
     }
 
     @Override
--- a/src/main/java/quotagateway/node/CordonStore.java
+++ b/src/main/java/quotagateway/node/CordonStore.java
@@ -69,7 +69,7 @@
     }
 
     /** Takes a server out or puts it back: here at once, and answered when that is kept. */
-    void call(String server, boolean out, Consumer<CordonResult> answer) {
+    void setCordoned(String server, boolean out, Consumer<CordonResult> answer) {
         if (!node.cordon(server, out)) {
             answer.accept(CordonResult.UNKNOWN);
             return;
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -99,7 +99,7 @@
      */
     private static final int OWN = 40;
 
-    private static final int OWN_CONTROL = AdminServer.MOST + 1;
+    private static final int OWN_CONTROL = AdminServer.MAX_CONNECTIONS + 1;
     /** What all held requests' values may take (bytes) before clients are read no further. */
     private static final long HELD = 8L << 20;
     /** A timer on which the module failed comes once more after this (ms). */
@@ -142,8 +142,8 @@
     /** When (ms) the next look at whether all has ended is due. */
     private double lookDue;
 
-    private volatile SocketAddress address;
-    private volatile SocketAddress control;
+    private volatile SocketAddress listenAddress;
+    private volatile SocketAddress adminAddress;
     /** Set at SIGTERM: by then (ms) all is answered, as the process may be killed right after. */
     private volatile double endsAt = Double.MAX_VALUE;
 
@@ -152,30 +152,30 @@
         this.policyFactory = maker;
         guard = new LifecycleGuard(config.settings(), this::violated);
         clients = new ClientListener(this, this, clientsOf(CLIENTS));
-        endpoints = new EndpointPool(this, this, group, config, (int) (config.sockets() * SERVERS));
+        endpoints = new EndpointPool(this, this, group, config, (int) (config.maxSockets() * SERVERS));
         counter = new CounterClient(
                 this,
                 this,
                 group,
-                config.counter(),
+                config.counterAddress(),
                 config.settings().capabilities().counterTimeout(),
                 config.seed());
         discovery = new DiscoveryClient(this, this, DiscoveryClient.sockets(group), config);
         admin = new AdminServer(this, this);
-        handover = new ProcessHandover(config.folder(), config.name());
+        handover = new ProcessHandover(config.stateDirectory(), config.name());
         metrics = new Metrics(config.settings().requestClasses());
-        cordons = new CordonStore(this, config.folder(), config.name());
+        cordons = new CordonStore(this, config.stateDirectory(), config.name());
     }
 
     /** So many clients as this part of the descriptors holds, or as the others' parts and ours leave. */
     private int clientsOf(double part) {
-        int most = (int) (config.sockets() * part);
-        int left = config.sockets()
-                - (int) (config.sockets() * SERVERS)
+        int most = (int) (config.maxSockets() * part);
+        int left = config.maxSockets()
+                - (int) (config.maxSockets() * SERVERS)
                 - OWN
-                - 2 * ClientListener.beyond(most)
-                - (config.control() == null ? 0 : OWN_CONTROL);
-        return Math.max(config.sockets() / 3, Math.min(most, left)); // a third is theirs by the terms
+                - 2 * ClientListener.connectionsBeyondLimit(most)
+                - (config.adminAddress() == null ? 0 : OWN_CONTROL);
+        return Math.max(config.maxSockets() / 3, Math.min(most, left)); // a third is theirs by the terms
     }
 
     // ---- life ----
@@ -190,8 +190,8 @@
      * long (ms) on its start before; see {@link Readiness}.
      */
     public void start(double spent) throws IOException {
-        if (config.control() != null) {
-            control = admin.bind(group, config.control()); // from here on who asks is told: not yet
+        if (config.adminAddress() != null) {
+            adminAddress = admin.bind(group, config.adminAddress()); // from here on who asks is told: not yet
         }
         Set<String> out = cordons.load();
         CompletableFuture<Void> ready = new CompletableFuture<>();
@@ -203,17 +203,23 @@
                 ready.completeExceptionally(e);
                 return;
             }
-            discovery.ready().thenRun(() -> StartupTimeline.ended("discovery"));
-            endpoints.ready().thenRun(() -> StartupTimeline.ended("servers"));
-            counter.ready().thenRun(() -> StartupTimeline.ended("counter"));
+            discovery.ready().thenRun(() -> StartupTimeline.phaseEnded("discovery"));
+            endpoints.ready().thenRun(() -> StartupTimeline.phaseEnded("servers"));
+            counter.ready().thenRun(() -> StartupTimeline.phaseEnded("counter"));
             cordons(out); // before the first attempt
             cordons.start();
-            guarded(() -> discovery.start(config.known())); // whatever that list is: discovery has another
+            guarded(() -> discovery.start(config.cachedEndpoints())); // whatever that list is: discovery has another
             counter.start();
             endpoints.start();
             clients.start();
-            StartupTimeline.ended("loop and module");
-            Readiness.of(this, spent, config.known() != null, discovery.ready(), endpoints.ready(), counter.ready())
+            StartupTimeline.phaseEnded("loop and module");
+            Readiness.of(
+                            this,
+                            spent,
+                            config.cachedEndpoints() != null,
+                            discovery.ready(),
+                            endpoints.ready(),
+                            counter.ready())
                     .thenRun(() -> ready.complete(null));
         });
         try {
@@ -235,18 +241,18 @@
                     + counter.ready().isDone());
         }
         try {
-            if (handover.beside()) {
-                clients.bound(clientsOf(CLIENTS_BESIDE));
+            if (handover.hasPredecessor()) {
+                clients.limitConnections(clientsOf(CLIENTS_BESIDE));
                 schedule(
                         ShutdownDeadline.earliestKill(config.settings()) + REPLACED_ENDS,
-                        () -> clients.bound(clientsOf(CLIENTS)));
+                        () -> clients.limitConnections(clientsOf(CLIENTS)));
             }
-            SocketAddress bound = ended.isDone() ? null : clients.bind(group, config.listen());
+            SocketAddress bound = ended.isDone() ? null : clients.bind(group, config.listenAddress());
             if (bound == null) {
                 return; // SIGTERM came first
             }
             handover.claim();
-            address = bound;
+            listenAddress = bound;
             group.execute(() -> enter(NodeState.SERVING));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -258,26 +264,26 @@
         group.execute(() -> guarded(() -> {
             try {
                 GatewayConfig told = file.read();
-                discovery.move(told.discovery());
-                counter.move(told.counter());
+                discovery.reconnectTo(told.discoveryAddress());
+                counter.reconnectTo(told.counterAddress());
             } catch (IOException e) {
                 logFailure("configuration", e);
             }
         }));
     }
 
-    public SocketAddress address() {
-        return address;
+    public SocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    public SocketAddress control() {
-        return control;
+    public SocketAddress adminAddress() {
+        return adminAddress;
     }
 
     /** Whether clients are taken: the listener is up and is to stay. */
     @Override
     public boolean acceptsClients() {
-        return address != null && endsAt == Double.MAX_VALUE;
+        return listenAddress != null && endsAt == Double.MAX_VALUE;
     }
 
     /**
@@ -286,10 +292,10 @@
      */
     public void drain() {
         double due = now() + ShutdownDeadline.answersDue(config.settings()); // from the signal on
-        boolean succeeded = handover.succeeded();
+        boolean succeeded = handover.hasSuccessor();
         group.execute(() -> guarded(() -> {
             endsAt = due;
-            events.writeAll();
+            events.writeImmediately();
             enter(NodeState.DRAINING);
             if (!clients.hasListened()) {
                 end(); // during the start: nothing is taken, and now nothing will be
@@ -298,14 +304,14 @@
             lookForEnd((double) (succeeded ? STAY_OPEN : LISTEN_ON)); // first: a fault below does not keep the process
             requests.values().forEach(this::boundByEnd);
             schedule(STAY_OPEN, () -> {
-                clients.close();
+                clients.closeAfterResponses();
                 clients.closeIdle();
             });
             if (succeeded) {
-                clients.unbind();
-                clients.close();
+                clients.stopListening();
+                clients.closeAfterResponses();
             } else {
-                schedule(LISTEN_ON, clients::unbind);
+                schedule(LISTEN_ON, clients::stopListening);
             }
         }));
         ended.join();
@@ -329,15 +335,15 @@
     private void whenIdle() {
         double late = now() - lookDue;
         if (late > LATE) {
-            logEvent(new NodeEvent.LoopLate(late));
+            logEvent(new NodeEvent.EventLoopLate(late));
         }
-        if (guard.mayEnd(clients.idle(), openRequests, now() >= endsAt + LAST_END)) {
+        if (guard.mayEnd(clients.isIdle(), openRequests, now() >= endsAt + LAST_END)) {
             end();
             return;
         }
         lookForEnd(END_LOOK);
         if (now() >= endsAt) {
-            clients.endAll();
+            clients.closeAll();
         }
     }
 
@@ -355,15 +361,17 @@
     /** What comes late for a state that is over changes nothing. */
     private void enter(NodeState next) {
         if (guard.enter(next)) {
-            logEvent(new NodeEvent.State(next, next == NodeState.DRAINING ? endsAt - now() : 0));
+            logEvent(new NodeEvent.StateEntered(next, next == NodeState.DRAINING ? endsAt - now() : 0));
         }
     }
 
     /** Behind the end only the loop's own closes come. */
     @Override
     public void logEvent(NodeEvent event) {
-        if (!guard.hasEnded() || event instanceof NodeEvent.State || event instanceof NodeEvent.Violation) {
-            events.add(now(), event);
+        if (!guard.hasEnded()
+                || event instanceof NodeEvent.StateEntered
+                || event instanceof NodeEvent.InvariantViolated) {
+            events.record(now(), event);
         }
     }
 
@@ -378,35 +386,35 @@
     }
 
     private void violated(Invariant invariant, String request) {
-        metrics.violated(invariant);
+        metrics.countViolation(invariant);
         if (request != null) {
             events.explain(request);
         }
-        logEvent(new NodeEvent.Violation(invariant, request));
+        logEvent(new NodeEvent.InvariantViolated(invariant, request));
     }
 
     /** Whether an attempt must not be written now. */
     boolean denies(ActiveRequest r, Attempt a) {
         SendDenial denial = guard.denial(r, a, now());
         if (denial != null) {
-            metrics.denied(denial);
-            logEvent(new NodeEvent.Denied(r.parsed.id(), a.number, denial));
+            metrics.countDenied(denial);
+            logEvent(new NodeEvent.AttemptDenied(r.parsed.id(), a.number, denial));
         }
         return denial != null;
     }
 
     /** A client's connection has ended. */
     @Override
-    public void onClientConnectionClosed(NodeEvent.ClientClosed closed) {
-        metrics.clientClosed(closed.reason());
+    public void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed) {
+        metrics.countClientClosed(closed.reason());
         logEvent(closed);
     }
 
     /** A connection to a place server has ended. */
     @Override
     public void onEndpointConnectionClosed(String server, CloseReason reason) {
-        metrics.serverClosed(reason);
-        logEvent(new NodeEvent.ServerClosed(server, reason));
+        metrics.countEndpointClosed(reason);
+        logEvent(new NodeEvent.EndpointConnectionClosed(server, reason));
     }
 
     /**
@@ -495,11 +503,11 @@
         double now = now();
         ClientCommand call;
         try {
-            call = ClientCommand.of(command, config.settings());
+            call = ClientCommand.parse(command, config.settings());
         } catch (IllegalArgumentException e) {
             return e.getMessage();
         }
-        if (!(call.patience() > 0 && call.patience() <= LONGEST)) {
+        if (!(call.clientTimeoutMs() > 0 && call.clientTimeoutMs() <= LONGEST)) {
             return "d is out of range";
         }
         guard.taking(call.id());
@@ -510,7 +518,7 @@
             refuseAtEnd(slot, call, body);
             return null;
         }
-        double wait = call.patience() + (body == null ? 0 : body.rest(now));
+        double wait = call.clientTimeoutMs() + (body == null ? 0 : body.remainingMs(now));
         double patience = Math.max(1, Math.min(wait, endsAt - now) - WAY_BACK);
         ActiveRequest r =
                 new ActiveRequest(this, ++lastId, slot, retained(command), call, body, now + patience, now + wait);
@@ -519,20 +527,25 @@
         openRequests++;
         requests.put(r.id, r);
         r.timer = schedule(patience + 1, () -> waited(r));
-        logEvent(new NodeEvent.Taken(
-                call.id(), call.type(), slot.connection(), slot.connectionAge(), slot.commandsBefore(), patience));
+        logEvent(new NodeEvent.RequestAccepted(
+                call.id(),
+                call.requestClass(),
+                slot.connectionId(),
+                slot.connectionAge(),
+                slot.commandsBefore(),
+                patience));
         if (!notifyPolicy(m -> m.onRequest(
                 now,
                 new IncomingRequest(
                         r.id,
-                        call.type(),
+                        call.requestClass(),
                         call.plan(),
                         call.customer(),
                         patience,
                         call.units(),
-                        call.spread(),
-                        call.first(),
-                        call.again())))) {
+                        call.gatewayCount(),
+                        call.firstGateway(),
+                        call.retry())))) {
             failUnlessCompleted(r, FailureReason.NO_DECISION);
         }
         return null;
@@ -542,12 +555,12 @@
     private void refuseAtEnd(ResponseSlot slot, ClientCommand call, RequestBody body) {
         ids.remove(call.id());
         if (body != null) {
-            body.drop();
+            body.discard();
         }
-        metrics.ended(call.type(), RequestOutcome.THROTTLED);
-        metrics.unserved(RequestOutcome.THROTTLED, FailureReason.SHUTDOWN);
-        logEvent(new NodeEvent.Answered(call.id(), RequestOutcome.THROTTLED, FailureReason.SHUTDOWN));
-        slot.answer(new ErrorRedisMessage("BUSY"));
+        metrics.countCompleted(call.requestClass(), RequestOutcome.THROTTLED);
+        metrics.countUnserved(RequestOutcome.THROTTLED, FailureReason.SHUTDOWN);
+        logEvent(new NodeEvent.RequestCompleted(call.id(), RequestOutcome.THROTTLED, FailureReason.SHUTDOWN));
+        slot.respond(new ErrorRedisMessage("BUSY"));
     }
 
     private static ArrayRedisMessage retained(ArrayRedisMessage command) {
@@ -561,7 +574,7 @@
             r.timer = schedule(LAST_WORD, () -> failUnlessCompleted(r, FailureReason.NO_DECISION));
         }
         for (Attempt a : r.attempts.toArray(new Attempt[0])) {
-            endpoints.giveUp(a, CallOutcome.TIMEOUT);
+            endpoints.abandon(a, CallOutcome.TIMEOUT);
         }
     }
 
@@ -576,11 +589,11 @@
     /** The client has gone. An attempt whose last byte is not out would begin only later: it never does. */
     void onClientDisconnected(ActiveRequest r) {
         if (!r.completed) {
-            logEvent(new NodeEvent.Abandoned(r.parsed.id()));
+            logEvent(new NodeEvent.RequestAbandoned(r.parsed.id()));
             complete(r);
             notifyPolicy(m -> m.onClientDisconnected(now(), r.id));
             for (Attempt a : r.attempts) {
-                execute(() -> endpoints.recall(a));
+                execute(() -> endpoints.cancelUnwritten(a));
             }
             settle(r);
         }
@@ -591,7 +604,7 @@
     }
 
     private void answer(ActiveRequest r, RedisMessage message, RequestOutcome outcome, FailureReason reason) {
-        metrics.unserved(outcome, reason);
+        metrics.countUnserved(outcome, reason);
         answerOnce(r, message, outcome, reason);
         settle(r);
     }
@@ -602,20 +615,20 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        logEvent(new NodeEvent.Answered(r.parsed.id(), outcome, reason));
+        logEvent(new NodeEvent.RequestCompleted(r.parsed.id(), outcome, reason));
         complete(r);
-        metrics.ended(r.parsed.type(), outcome);
-        r.slot.answer(message);
+        metrics.countCompleted(r.parsed.requestClass(), outcome);
+        r.slot.respond(message);
     }
 
     private void complete(ActiveRequest r) {
         r.completed = true;
         r.completedAt = now();
-        if (r.body != null && !r.body.whole()) { // what is out of it cannot become a command
-            r.body.drop();
-            execute(() -> r.attempts.forEach(a -> endpoints.giveUp(a, CallOutcome.CANCELLED)));
+        if (r.body != null && !r.body.isComplete()) { // what is out of it cannot become a command
+            r.body.discard();
+            execute(() -> r.attempts.forEach(a -> endpoints.abandon(a, CallOutcome.CANCELLED)));
         } else if (r.body != null) {
-            r.body.drop();
+            r.body.discard();
         }
         openRequests--;
         r.slot.request = null;
@@ -633,7 +646,7 @@
             bufferedBytes -= r.bytes;
             ReferenceCountUtil.release(r.command);
             if (wasFull && !isMemoryExhausted()) {
-                clients.resume();
+                clients.resumeReading();
             }
         }
     }
@@ -642,23 +655,23 @@
 
     /** The last byte of an attempt for this request is written. */
     void onAttemptWritten(ActiveRequest r) {
-        metrics.relayed();
+        metrics.countForwarded();
         guard.written(r.parsed.id(), r.completed ? now() - r.completedAt : 0);
     }
 
     void onAttemptEnded(ActiveRequest r, Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
         r.inFlight--;
         double now = now();
-        if (outcome != CallOutcome.OK && r.body != null && r.body.isGone()) {
-            r.body.drop(); // it went with this attempt; what still comes of it goes nowhere
+        if (outcome != CallOutcome.OK && r.body != null && r.body.isConsumed()) {
+            r.body.discard(); // it went with this attempt; what still comes of it goes nowhere
         }
         if (outcome == CallOutcome.OK && !r.completed) {
             answerOnce(r, ReferenceCountUtil.retain(value), RequestOutcome.FULFILLED, null);
         }
-        logEvent(new NodeEvent.Ended(r.parsed.id(), a.number, a.server, outcome, now - a.sent));
+        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number, a.endpoint, outcome, now - a.sentAt));
         a.outcome = outcome;
         boolean told =
-                notifyPolicy(m -> m.onAttemptEnded(now, r.id, a.number, outcome, now - a.sent, r.completed, 0, load));
+                notifyPolicy(m -> m.onAttemptEnded(now, r.id, a.number, outcome, now - a.sentAt, r.completed, 0, load));
         if (!told) {
             failUnlessCompleted(r, FailureReason.NO_DECISION);
         }
@@ -673,17 +686,17 @@
         r.inFlight--;
         double now = now();
         StreamedResponse stream = null;
-        logEvent(new NodeEvent.Ended(r.parsed.id(), a.number, a.server, CallOutcome.OK, now - a.sent));
+        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number, a.endpoint, CallOutcome.OK, now - a.sentAt));
         a.outcome = CallOutcome.OK;
         if (!r.completed) {
             complete(r);
             openRequests++; // until the stream ends
             stream = new StreamedResponse(
-                    this, from, r.slot, length, outcome -> onStreamEnded(r.parsed.type(), outcome));
-            r.slot.stream(stream);
+                    this, from, r.slot, length, outcome -> onStreamEnded(r.parsed.requestClass(), outcome));
+            r.slot.streamFrom(stream);
         }
         notifyPolicy(m ->
-                m.onAttemptEnded(now, r.id, a.number, CallOutcome.OK, now - a.sent, true, 0, EndpointPool.NO_LOAD));
+                m.onAttemptEnded(now, r.id, a.number, CallOutcome.OK, now - a.sentAt, true, 0, EndpointPool.NO_LOAD));
         settle(r);
         return stream;
     }
@@ -692,7 +705,7 @@
     public void onStreamEnded(String type, RequestOutcome outcome) {
         openRequests--;
         if (outcome != null) {
-            metrics.ended(type, outcome);
+            metrics.countCompleted(type, outcome);
         }
     }
 
@@ -710,35 +723,35 @@
     @Override
     public void onEndpoints(List<EndpointDescriptor> list, boolean whole) {
         if (whole) {
-            endpoints.listBegins();
+            endpoints.onEndpointListStarted();
         }
         for (EndpointDescriptor s : list) {
             if (s.state() != EndpointState.UP) {
-                logEvent(new NodeEvent.ServerLeaves(s.id(), s.state()));
+                logEvent(new NodeEvent.EndpointLeaving(s.id(), s.state()));
             }
         }
-        endpoints.listed(list);
+        endpoints.onEndpoints(list);
         if (whole) {
-            endpoints.listEnds();
+            endpoints.onEndpointListCompleted();
         }
         notifyPolicy(m -> m.onEndpoints(now(), list, whole));
         if (!list.isEmpty()) {
-            endpoints.known();
+            endpoints.onPolicyNotified();
         }
     }
 
     /** A whole list begins: its parts follow as changes, and what none of them names is gone at its end. */
     @Override
     public void onEndpointListStarted() {
-        endpoints.listBegins();
+        endpoints.onEndpointListStarted();
         notifyPolicy(m -> m.onEndpointListStarted(now()));
     }
 
     @Override
     public void onEndpointListCompleted() {
-        endpoints.listEnds();
+        endpoints.onEndpointListCompleted();
         notifyPolicy(m -> m.onEndpointListCompleted(now()));
-        endpoints.known();
+        endpoints.onPolicyNotified();
     }
 
     @Override
@@ -759,7 +772,7 @@
         if (policy != null) {
             notifyPolicy(m -> avoided[0] = m.unavailableEndpointCount(now()));
         }
-        return metrics.text(openRequests, policy == null ? 0 : policy.endpointCount(), avoided[0]);
+        return metrics.render(openRequests, policy == null ? 0 : policy.endpointCount(), avoided[0]);
     }
 
     /** One call of the operators, with what becomes of it. */
@@ -768,7 +781,7 @@
         if (policy == null) { // too early to know any server
             answer.accept(CordonResult.NOT_KEPT);
         } else {
-            cordons.call(server, out, answer);
+            cordons.setCordoned(server, out, answer);
         }
     }
 
@@ -789,21 +802,21 @@
         if (r == null) {
             return;
         }
-        Attempt a = new Attempt(r, r.attempts.size(), server, now(), endpoints.told(server));
+        Attempt a = new Attempt(r, r.attempts.size(), server, now(), endpoints.descriptor(server));
         r.attempts.add(a);
         r.inFlight++;
         if (denies(r, a)) {
-            a.done = true;
+            a.ended = true;
             execute(() -> onAttemptEnded(r, a, CallOutcome.NOT_SENT, null, EndpointPool.NO_LOAD));
             return;
         }
         CallOutcome after = a.number == 0 ? null : r.attempts.get(a.number - 1).outcome;
-        logEvent(new NodeEvent.Sent(r.parsed.id(), a.number, server, after));
+        logEvent(new NodeEvent.AttemptSent(r.parsed.id(), a.number, server, after));
         if (after != null) {
-            metrics.retried(after);
+            metrics.countRetry(after);
         }
         if (until > 0 && until < r.deadline) {
-            schedule(until - a.sent, () -> endpoints.giveUp(a, CallOutcome.TIMEOUT));
+            schedule(until - a.sentAt, () -> endpoints.abandon(a, CallOutcome.TIMEOUT));
         }
         endpoints.send(a);
     }
@@ -813,7 +826,7 @@
         ActiveRequest r = requests.get(id);
         if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
             Attempt a = r.attempts.get(attempt);
-            execute(() -> endpoints.giveUp(a, CallOutcome.CANCELLED));
+            execute(() -> endpoints.abandon(a, CallOutcome.CANCELLED));
         }
     }
 
@@ -860,7 +873,7 @@
 
     @Override
     public void checkHealth(String server) {
-        endpoints.probe(server);
+        endpoints.checkHealth(server);
     }
 
     @Override
@@ -880,7 +893,7 @@
 
     @Override
     public void retainEndpoint(EndpointDescriptor server) {
-        endpoints.keep(server);
+        endpoints.retain(server);
     }
 
     @Override
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -113,10 +113,10 @@
         if (r.completed) {
             return SendDenial.REQUEST_OVER;
         }
-        if (r.slot.isClosed()) {
+        if (r.slot.isDisconnected()) {
             return SendDenial.CLIENT_GONE;
         }
-        if (r.body != null && r.body.isGone()) {
+        if (r.body != null && r.body.isConsumed()) {
             return SendDenial.VALUE_GONE;
         }
         if (now >= r.deadline) {
@@ -125,7 +125,7 @@
         if (a.number >= allowed.maxAttempts()) {
             return SendDenial.ATTEMPTS_USED;
         }
-        RequestClass type = classes.get(r.parsed.type());
+        RequestClass type = classes.get(r.parsed.requestClass());
         for (Attempt before : r.attempts.subList(0, a.number)) {
             SendDenial denial = repeat(type, before, a, now);
             if (denial != null) {
@@ -137,7 +137,7 @@
 
     /** Why an attempt may not follow this one before it; null where it may. */
     SendDenial repeat(RequestClass type, Attempt before, Attempt next, double now) {
-        boolean out = !before.done;
+        boolean out = !before.ended;
         if (out && !allowed.hedging()) {
             return SendDenial.COPY_OUT;
         }
@@ -148,10 +148,10 @@
         if (type == null || type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return SendDenial.NOT_REPEATABLE;
         }
-        if (now - before.sent >= type.idempotencyWindow() - HOLD_UP) {
+        if (now - before.sentAt >= type.idempotencyWindow() - HOLD_UP) {
             return SendDenial.WINDOW_OVER;
         }
-        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.place, next.place)
+        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.descriptor, next.descriptor)
                 ? SendDenial.OTHER_GROUP
                 : null;
     }
--- a/src/main/java/quotagateway/node/ProcessHandover.java
+++ b/src/main/java/quotagateway/node/ProcessHandover.java
@@ -33,12 +33,12 @@
     }
 
     /** Whether this process comes up beside another: the folder of a plain start is empty. */
-    boolean beside() {
+    boolean hasPredecessor() {
         return Files.exists(file);
     }
 
     /** Whether another process has listened since this one did. */
-    boolean succeeded() {
+    boolean hasSuccessor() {
         try {
             return Files.exists(file)
                     && !Files.readString(file, StandardCharsets.UTF_8).equals(me);
--- a/src/main/java/quotagateway/resp/Resp.java
+++ b/src/main/java/quotagateway/resp/RespCodec.java
@@ -1,6 +1,5 @@
 package quotagateway.resp;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -26,7 +25,7 @@
 import java.util.List;
 
 /** RESP2 on a channel: the library's codec, held within this protocol's bounds. */
-public final class Resp {
+public final class RespCodec {
     /** A value up to this is gathered whole; the lists of names and values and inline answers are shorter. */
     public static final int VALUE = 64 * 1024;
     /** The most that one value holds. */
@@ -35,28 +34,16 @@
     private static final int LINE = 4096;
     private static final int DEPTH = 4;
 
-    private Resp() {}
-
-    /** Where a value goes that is too large to be gathered. */
-    public interface LargeValue {
-        /** Which element of an array may be large. */
-        int place();
-
-        /** Whether it is taken: else it spoils the answer. */
-        boolean begins(int length);
-
-        /** The next part, which is the receiver's to release. */
-        void content(ByteBuf part, boolean last);
-    }
+    private RespCodec() {}
 
     /** Adds the codec: whole messages in, messages out; the largest array told bounds what is kept of one. */
-    public static Raw codec(ChannelPipeline pipeline, int mostElements) {
+    public static RespFrameTracker codec(ChannelPipeline pipeline, int mostElements) {
         return codec(pipeline, mostElements, null);
     }
 
     /** The same, but one value of an array may be large: an empty one stands for it in the message. */
-    public static Raw codec(ChannelPipeline pipeline, int mostElements, LargeValue large) {
-        Raw raw = new Raw();
+    public static RespFrameTracker codec(ChannelPipeline pipeline, int mostElements, LargeValueHandler large) {
+        RespFrameTracker raw = new RespFrameTracker();
         pipeline.addLast(
                 raw,
                 new RedisDecoder(LINE, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
@@ -67,36 +54,16 @@
         return raw;
     }
 
-    /** Counts what comes in before it is decoded, as the decoder hides half a message. */
-    public static final class Raw extends ChannelInboundHandlerAdapter {
-        /** Bytes that have come and belong to no whole message yet. */
-        public long pending;
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            pending += ((ByteBuf) msg).readableBytes();
-            ctx.fireChannelRead(msg);
-        }
-
-        /** A large value has come; the message will count an empty one in its place. */
-        private void large(int size) {
-            pending -= digits(size) - digits(0) + size;
-        }
-
-        /** A whole message has come; one in another than the shortest form leaves a difference for good. */
-        public void whole(RedisMessage message) {
-            pending -= length(message);
-        }
-    }
-
     /** The bytes of a message in its shortest form. */
-    private static long length(RedisMessage message) {
+    static long length(RedisMessage message) {
         if (message instanceof ArrayRedisMessage array) {
             return array.isNull()
                     ? 5
                     : digits(array.children().size())
                             + 3
-                            + array.children().stream().mapToLong(Resp::length).sum();
+                            + array.children().stream()
+                                    .mapToLong(RespCodec::length)
+                                    .sum();
         }
         if (message instanceof FullBulkStringRedisMessage bulk) {
             int size = bulk.isNull() ? -1 : bulk.content().readableBytes();
@@ -110,21 +77,21 @@
                 : 0;
     }
 
-    private static int digits(int size) {
+    static int digits(int size) {
         return Integer.toString(size).length();
     }
 
     /** Guards against headers that announce gigabytes: the library's own bound is 512 MB a value. */
     private static final class Bounds extends ChannelInboundHandlerAdapter {
-        private final Raw raw;
-        private final LargeValue large;
+        private final RespFrameTracker raw;
+        private final LargeValueHandler large;
         /** Elements of the array so far, and all of them. */
         private long elements;
 
         private long size;
         private int streaming;
 
-        Bounds(Raw raw, LargeValue large) {
+        Bounds(RespFrameTracker raw, LargeValueHandler large) {
             this.raw = raw;
             this.large = large;
         }
@@ -137,7 +104,7 @@
                     raw.large(streaming);
                     streaming = 0;
                 }
-                large.content(((BulkStringRedisContent) msg).content(), last);
+                large.onValueContent(((BulkStringRedisContent) msg).content(), last);
                 return;
             }
             if (msg instanceof ArrayHeaderRedisMessage array) {
@@ -157,10 +124,10 @@
 
         private void begin(ChannelHandlerContext ctx, int length) {
             if (large == null
-                    || elements != large.place()
+                    || elements != large.argumentIndex()
                     || elements >= size
                     || length > LARGEST
-                    || !large.begins(length)) {
+                    || !large.onValueStarted(length)) {
                 throw new CodecException("a value of more than " + VALUE);
             }
             elements++;
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -26,7 +26,7 @@
 import quotagateway.policy.api.PolicySettings;
 import quotagateway.policy.api.QuotaPlan;
 import quotagateway.policy.api.RequestClass;
-import quotagateway.resp.Resp;
+import quotagateway.resp.RespCodec;
 import quotagateway.upstream.EndpointPool;
 
 /**
@@ -64,8 +64,8 @@
 
     private JitWarmup(PolicySettings settings, PolicyFactory maker) {
         this.settings = settings;
-        Resp.codec(client.pipeline(), MOST);
-        Resp.codec(server.pipeline(), MOST);
+        RespCodec.codec(client.pipeline(), MOST);
+        RespCodec.codec(server.pipeline(), MOST);
         module = maker.create(settings, 1, now, this);
         List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
@@ -111,20 +111,20 @@
                 "c=" + type.name() + ",t=" + plan.name() + ",d=" + Math.round(type.deadline()) + ",k=" + i
                         + ",units=1,spread=" + Math.min(2, settings.nodeCount()) + ",first=0")));
         ArrayRedisMessage command = client.readInbound();
-        ClientCommand call = ClientCommand.of(command, settings);
+        ClientCommand call = ClientCommand.parse(command, settings);
         module.onRequest(
                 now,
                 new IncomingRequest(
                         i,
-                        call.type(),
+                        call.requestClass(),
                         call.plan(),
                         call.customer(),
-                        call.patience(),
+                        call.clientTimeoutMs(),
                         call.units(),
-                        call.spread(),
-                        call.first(),
-                        call.again()));
-        pass(server, call.forward(command, call.patience(), server.alloc()));
+                        call.gatewayCount(),
+                        call.firstGateway(),
+                        call.retry()));
+        pass(server, call.encodeForEndpoint(command, call.clientTimeoutMs(), server.alloc()));
         server.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
         ArrayRedisMessage value = server.readInbound();
         pass(client, ReferenceCountUtil.retain(value.children().get(0)));
--- a/src/main/java/quotagateway/startup/StartupTimeline.java
+++ b/src/main/java/quotagateway/startup/StartupTimeline.java
@@ -22,17 +22,17 @@
     private StartupTimeline() {}
 
     /** How long (ms) the program has run since its first line here. */
-    public static double spent() {
+    public static double elapsedMs() {
         return (System.nanoTime() - BEGUN) / 1e6;
     }
 
     /** A part has ended. */
-    public static synchronized void ended(String part) {
+    public static synchronized void phaseEnded(String part) {
         TEXT.append(' ').append(part).append(' ').append(times()).append(',');
     }
 
     /** The whole start has. */
-    public static synchronized void tell(String part) {
+    public static synchronized void log(String part) {
         System.err.println(TEXT.append(' ').append(part).append(' ').append(times()));
         TEXT.setLength(0);
     }
--- a/src/main/java/quotagateway/streaming/RequestBody.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
-import quotagateway.resp.Resp;
+import quotagateway.resp.RespCodec;
 
 /**
  * A request's value too large to stand in memory, on its way from a client to an app server. Its first part
@@ -13,7 +13,7 @@
 public final class RequestBody {
 
     /** So much is kept (bytes) before a server is looked for, and no more. */
-    public static final int KEPT = Resp.VALUE;
+    public static final int MAX_BUFFERED_BYTES = RespCodec.VALUE;
 
     private final int length;
     private final double begunAt;
@@ -24,7 +24,7 @@
     private RequestBodySink sink;
     private boolean taken;
     private boolean dropped;
-    private boolean open = true;
+    private boolean setWritable = true;
 
     /** The last is run when the client should be read on, or no further. */
     public RequestBody(int length, double now, Runnable wanted) {
@@ -43,7 +43,7 @@
         if (dropped) {
             part.release();
         } else if (sink != null) {
-            open = sink.write(part, whole());
+            setWritable = sink.write(part, isComplete());
             wanted.run();
         } else {
             bytes += part.readableBytes();
@@ -52,49 +52,49 @@
         }
     }
 
-    public boolean whole() {
+    public boolean isComplete() {
         return got == length;
     }
 
     /** Enough has come to look for a server. */
-    public boolean begun() {
-        return bytes >= KEPT || whole();
+    public boolean isReadyToForward() {
+        return bytes >= MAX_BUFFERED_BYTES || isComplete();
     }
 
     /** Whether more should be read from the client. */
-    public boolean wants() {
-        return dropped || (sink != null ? open : bytes < KEPT);
+    public boolean wantsMore() {
+        return dropped || (sink != null ? setWritable : bytes < MAX_BUFFERED_BYTES);
     }
 
     /** How long (ms) the rest takes at the pace so far. */
-    public double rest(double now) {
+    public double remainingMs(double now) {
         return got == 0 ? 0 : (now - begunAt) / got * (length - got);
     }
 
     /** An attempt has begun to take it, or it is of no more use: it cannot be sent as if whole. */
-    public boolean isGone() {
+    public boolean isConsumed() {
         return taken || dropped;
     }
 
     /** From here on all goes to this server. */
-    public void to(RequestBodySink server) {
+    public void forwardTo(RequestBodySink server) {
         taken = true;
         sink = server;
         while (!kept.isEmpty()) {
             ByteBuf part = kept.poll();
-            open = sink.write(part, whole() && kept.isEmpty());
+            setWritable = sink.write(part, isComplete() && kept.isEmpty());
         }
         wanted.run();
     }
 
     /** The server takes more, or no more for now. */
-    public void open(boolean on) {
-        open = on;
+    public void setWritable(boolean on) {
+        setWritable = on;
         wanted.run();
     }
 
     /** What has not come yet is read and dropped: the client's next command is behind it. */
-    public void drop() {
+    public void discard() {
         if (!dropped) {
             dropped = true;
             sink = null;
--- a/src/main/java/quotagateway/streaming/ResponseSink.java
+++ b/src/main/java/quotagateway/streaming/ResponseSink.java
@@ -5,11 +5,11 @@
 /** The client's end of a streamed response. */
 public interface ResponseSink {
     /** Gives a whole response in the stream's place. */
-    void answer(RedisMessage message);
+    void respond(RedisMessage message);
 
     /** The rest does not come: the client's connection is ended behind what was written. */
-    void brokenOff();
+    void abort();
 
     /** The last byte is written. */
-    void streamed();
+    void onStreamCompleted();
 }
--- a/src/main/java/quotagateway/streaming/ResponseSource.java
+++ b/src/main/java/quotagateway/streaming/ResponseSource.java
@@ -2,7 +2,7 @@
 
 /** The app server's end. */
 public interface ResponseSource {
-    void read(boolean on);
+    void setReading(boolean on);
 
     /** The value is of no use any more. */
     void stop();
--- a/src/main/java/quotagateway/streaming/StreamedResponse.java
+++ b/src/main/java/quotagateway/streaming/StreamedResponse.java
@@ -55,7 +55,7 @@
 
     private void check() {
         if (sink != null && loop.now() - movedAt > STALLED) {
-            broken();
+            onSourceFailed();
         } else if (!over) {
             watch = loop.schedule(CHECK, this::check);
         }
@@ -76,14 +76,14 @@
         } else {
             write(part, last);
         }
-        pace();
+        updateReading();
         if (last) {
-            source.read(true); // the rest of the answer is not the client's
+            source.setReading(true); // the rest of the answer is not the client's
         }
     }
 
     /** The server's connection has ended, or what comes on it cannot be read: the rest does not come. */
-    public void broken() {
+    public void onSourceFailed() {
         if (over || whole) {
             return;
         }
@@ -91,16 +91,16 @@
         end(RequestOutcome.FAULTED);
         source.stop();
         if (begun) {
-            slot.brokenOff();
+            slot.abort();
         } else {
-            slot.answer(new ErrorRedisMessage("ERR failed"));
+            slot.respond(new ErrorRedisMessage("ERR failed"));
         }
     }
 
     // ---- from the client ----
 
     /** All answers before this one are written. */
-    public void turn(Channel channel) {
+    public void startWriting(Channel channel) {
         if (sink != null || over) {
             return;
         }
@@ -112,20 +112,20 @@
             ByteBuf part = early.poll();
             write(part, whole && early.isEmpty());
         }
-        pace();
+        updateReading();
     }
 
     /** The client's connection has taken what was written, or has more than enough again. */
-    public void pace() {
+    public void updateReading() {
         if (!over && !whole) {
             boolean on = sink != null && sink.isWritable();
             movedAt = on ? loop.now() : movedAt;
-            source.read(on);
+            source.setReading(on);
         }
     }
 
     /** The client has gone: nobody waits for the rest. */
-    public void abandoned() {
+    public void onClientDisconnected() {
         if (!over) {
             end(null);
             source.stop();
@@ -141,7 +141,7 @@
                     end(RequestOutcome.FULFILLED);
                 }
             });
-            slot.streamed();
+            slot.onStreamCompleted();
         }
         loop.flushLater(sink);
     }
--- a/src/main/java/quotagateway/upstream/Attempt.java
+++ b/src/main/java/quotagateway/upstream/Attempt.java
@@ -7,22 +7,22 @@
 public class Attempt {
     public final UpstreamRequest request;
     public final int number;
-    public final String server;
-    public final double sent;
+    public final String endpoint;
+    public final double sentAt;
     /** Where it goes, as the list had it then; null where the pool does not use that server. */
-    public final EndpointDescriptor place;
+    public final EndpointDescriptor descriptor;
 
-    public boolean done;
+    public boolean ended;
     /** Set when it has ended. */
     public CallOutcome outcome;
 
-    EndpointPool.EndpointConnection link;
+    EndpointPool.EndpointConnection connection;
 
     public Attempt(UpstreamRequest request, int number, String server, double sent, EndpointDescriptor place) {
-        this.place = place;
+        this.descriptor = place;
         this.request = request;
         this.number = number;
-        this.server = server;
-        this.sent = sent;
+        this.endpoint = server;
+        this.sentAt = sent;
     }
 }
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -33,7 +33,9 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointDescriptor;
 import quotagateway.policy.api.EndpointState;
-import quotagateway.resp.Resp;
+import quotagateway.resp.LargeValueHandler;
+import quotagateway.resp.RespCodec;
+import quotagateway.resp.RespFrameTracker;
 import quotagateway.streaming.RequestBodySink;
 import quotagateway.streaming.ResponseSource;
 import quotagateway.streaming.StreamedResponse;
@@ -137,7 +139,7 @@
     private final IdleTimeoutEstimator idleLimit = new IdleTimeoutEstimator();
     private int open;
     private int part;
-    private boolean known;
+    private boolean onPolicyNotified;
 
     public EndpointPool(
             EventLoopContext loop,
@@ -152,7 +154,7 @@
         bootstrap = new Bootstrap()
                 .group(group)
                 .channel(Transport.socket())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) config.connectTimeout())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) config.connectTimeoutMs())
                 .option(ChannelOption.SO_RCVBUF, KERNEL)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
@@ -167,11 +169,11 @@
     // ---- the list ----
 
     /** A whole list begins: who it does not name by its end has gone. */
-    public void listBegins() {
+    public void onEndpointListStarted() {
         part++;
     }
 
-    public void listEnds() {
+    public void onEndpointListCompleted() {
         for (Target t : targets.values().toArray(new Target[0])) {
             if (t.part != part) {
                 leave(targets.remove(t.id));
@@ -180,7 +182,7 @@
     }
 
     /** What changes at servers that are used; which those are is the module's to say. */
-    public void listed(List<EndpointDescriptor> list) {
+    public void onEndpoints(List<EndpointDescriptor> list) {
         for (EndpointDescriptor s : list) {
             Target t = targets.get(s.id());
             if (t == null) {
@@ -188,7 +190,7 @@
             }
             t.part = part;
             if (s.state() == EndpointState.UP) {
-                keep(s);
+                retain(s);
             } else {
                 leave(t);
                 if (s.state() == EndpointState.REMOVED) {
@@ -199,13 +201,13 @@
     }
 
     /** The module has heard of a list, and has told which of its servers are used. */
-    public void known() {
-        known = true;
+    public void onPolicyNotified() {
+        onPolicyNotified = true;
         isReady();
     }
 
     /** Uses this server, as far as it is up: one connection is made so that the first request has it. */
-    public void keep(EndpointDescriptor s) {
+    public void retain(EndpointDescriptor s) {
         Target t = targets.get(s.id());
         if (t == null || t.dial != s.address()) {
             leave(t);
@@ -221,7 +223,7 @@
     }
 
     /** A server that is used, as the list has it, or null. */
-    public EndpointDescriptor told(String server) {
+    public EndpointDescriptor descriptor(String server) {
         Target t = targets.get(server);
         return t == null ? null : t.told;
     }
@@ -264,7 +266,8 @@
     private void sweep() {
         loop.schedule(SWEEP, this::sweep);
         idleLimit.fade(Math.pow(0.5, SWEEP / FADE));
-        double before = loop.now() - Math.max(config.keepAlive() * RETIRE_LEAST, config.keepAlive() - RETIRE_BEFORE);
+        double before =
+                loop.now() - Math.max(config.keepAliveMs() * RETIRE_LEAST, config.keepAliveMs() - RETIRE_BEFORE);
         for (Target t : targets.values()) {
             while (!t.idle.isEmpty() && t.idle.peek().usedAt < before) {
                 t.idle.poll().close(CloseReason.RETIRED);
@@ -273,7 +276,7 @@
     }
 
     private void isReady() {
-        if (!ready.isDone() && known && targets.values().stream().allMatch(t -> t.connecting == 0)) {
+        if (!ready.isDone() && onPolicyNotified && targets.values().stream().allMatch(t -> t.connecting == 0)) {
             ready.complete(null);
         }
     }
@@ -281,7 +284,7 @@
     // ---- attempts ----
 
     public void send(Attempt a) {
-        Target t = targets.get(a.server);
+        Target t = targets.get(a.endpoint);
         if (t == null || !t.up) {
             loop.execute(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
             return;
@@ -322,22 +325,22 @@
         }
     }
 
-    public void probe(String server) {
+    public void checkHealth(String server) {
         Attempt a = new Attempt(null, 0, server, loop.now(), null);
-        loop.schedule(PROBE_WITHIN, () -> giveUp(a, CallOutcome.TIMEOUT));
+        loop.schedule(PROBE_WITHIN, () -> abandon(a, CallOutcome.TIMEOUT));
         send(a);
     }
 
     /** Stops waiting for an attempt. One that was not written whole cannot have run. */
-    public void giveUp(Attempt a, CallOutcome outcome) {
-        if (a.done) {
+    public void abandon(Attempt a, CallOutcome outcome) {
+        if (a.ended) {
             return;
         }
-        EndpointConnection link = a.link;
+        EndpointConnection link = a.connection;
         boolean unsent = link == null || !link.written;
         end(a, unsent && outcome == CallOutcome.TIMEOUT ? CallOutcome.NO_CONNECTION : outcome, null, NO_LOAD);
         if (link == null) {
-            Target t = targets.get(a.server);
+            Target t = targets.get(a.endpoint);
             if (t != null) {
                 t.waiting.remove(a);
             }
@@ -348,19 +351,19 @@
     }
 
     /** Ends an attempt that the server has not got whole, and so has not begun. */
-    public void recall(Attempt a) {
-        if (a.link == null || !a.link.written) {
-            giveUp(a, CallOutcome.NOT_SENT);
+    public void cancelUnwritten(Attempt a) {
+        if (a.connection == null || !a.connection.written) {
+            abandon(a, CallOutcome.NOT_SENT);
         }
     }
 
     private void end(Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
-        if (a.done) {
+        if (a.ended) {
             return;
         }
-        a.done = true;
+        a.ended = true;
         if (a.request == null) {
-            listener.onHealthCheck(a.server, outcome, loop.now() - a.sent, load);
+            listener.onHealthCheck(a.endpoint, outcome, loop.now() - a.sentAt, load);
         } else {
             a.request.onAttemptEnded(a, outcome, value, load);
         }
@@ -392,7 +395,7 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         link.channel = channel;
-                        link.raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS, link);
+                        link.raw = RespCodec.codec(channel.pipeline(), MOST_ELEMENTS, link);
                         channel.pipeline().addLast(link);
                     }
                 })
@@ -421,14 +424,14 @@
     }
 
     final class EndpointConnection extends ChannelInboundHandlerAdapter
-            implements Resp.LargeValue, ResponseSource, RequestBodySink {
+            implements LargeValueHandler, ResponseSource, RequestBodySink {
         private final Target target;
         private Channel channel;
         private Attempt current;
         /** The large value that comes, or has come with the rest of its answer still to come. */
         private StreamedResponse stream;
 
-        private Resp.Raw raw;
+        private RespFrameTracker raw;
         private boolean written;
         private boolean answered;
         private boolean begun;
@@ -453,12 +456,12 @@
 
         void write(Attempt a) {
             current = a;
-            a.link = this;
+            a.connection = this;
             written = false;
             begun = false;
             idle = loop.now() - usedAt;
             ArrayRedisMessage command = a.request == null
-                    ? Resp.command(channel.alloc(), "INFO", "load")
+                    ? RespCodec.command(channel.alloc(), "INFO", "load")
                     : a.request.encode(channel.alloc());
             if (a.request != null && a.request.body() != null) {
                 List<RedisMessage> parts = command.children();
@@ -468,7 +471,7 @@
                 }
                 channel.write(new BulkStringHeaderRedisMessage(a.request.body().length()), channel.voidPromise());
                 ReferenceCountUtil.release(parts.get(parts.size() - 1)); // an empty one, in the body's place
-                a.request.body().to(this);
+                a.request.body().forwardTo(this);
             } else {
                 written(a, channel.write(command));
             }
@@ -506,7 +509,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (current != null && current.request != null && current.request.body() != null) {
-                current.request.body().open(channel.isWritable());
+                current.request.body().setWritable(channel.isWritable());
             }
         }
 
@@ -536,7 +539,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             try {
-                raw.whole((RedisMessage) msg);
+                raw.onMessageComplete((RedisMessage) msg);
                 if (stream != null) { // the figures behind a value that has been passed on
                     stream = null;
                     answered = true;
@@ -565,26 +568,26 @@
         }
 
         @Override
-        public int place() {
+        public int argumentIndex() {
             return 0;
         }
 
         /** The request is as good as answered: the value is the client's from its first bytes on. */
         @Override
-        public boolean begins(int length) {
+        public boolean onValueStarted(int length) {
             Attempt a = current;
             if (a == null || !written || a.request == null) {
                 return false;
             }
             current = null;
-            a.done = true;
+            a.ended = true;
             learn(false);
             stream = a.request.onStreamStarted(a, length, this);
             return stream != null;
         }
 
         @Override
-        public void content(ByteBuf part, boolean last) {
+        public void onValueContent(ByteBuf part, boolean last) {
             if (stream == null) {
                 part.release(); // its stream has ended, and this connection with it
             } else {
@@ -596,7 +599,7 @@
         }
 
         @Override
-        public void read(boolean on) {
+        public void setReading(boolean on) {
             if (channel.config().isAutoRead() != on) {
                 channel.config().setAutoRead(on);
             }
@@ -613,10 +616,10 @@
             if (msg instanceof ArrayRedisMessage array
                     && !array.isNull()
                     && array.children().size() == PARTS
-                    && Resp.isValue(array.children().get(0))
+                    && RespCodec.isValue(array.children().get(0))
                     && a.request != null) {
                 List<RedisMessage> parts = array.children();
-                end(a, CallOutcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
+                end(a, CallOutcome.OK, parts.get(0), load(RespCodec.text(parts.get(2))));
             } else if (msg instanceof ErrorRedisMessage error) {
                 String text = error.content();
                 boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
@@ -630,8 +633,8 @@
                         busy ? CallOutcome.FULL : CallOutcome.ERROR,
                         null,
                         text.indexOf('=', space) > 0 ? load(text.substring(space + 1)) : NO_LOAD);
-            } else if (a.request == null && Resp.isValue(msg)) {
-                end(a, CallOutcome.OK, null, load(Resp.text(msg)));
+            } else if (a.request == null && RespCodec.isValue(msg)) {
+                end(a, CallOutcome.OK, null, load(RespCodec.text(msg)));
             } else {
                 return false;
             }
@@ -644,11 +647,11 @@
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (stream == null && current == null && raw.pending != 0) {
+            if (stream == null && current == null && raw.pendingBytes != 0) {
                 close(CloseReason.UNASKED);
             } else if (answered) {
                 free();
-            } else if (current != null && raw.pending != 0 && !begun) {
+            } else if (current != null && raw.pendingBytes != 0 && !begun) {
                 begun = true;
                 incomplete(current);
             }
@@ -658,13 +661,13 @@
 
         /** Half an answer has come, of an attempt or behind a large value: waited for while it grows. */
         private void incomplete(Attempt a) {
-            long before = raw.pending;
+            long before = raw.pendingBytes;
             StreamedResponse value = stream;
             loop.schedule(WHOLE_WITHIN, () -> {
                 if (current != a || stream != value || (a == null && value == null)) {
                     return;
                 }
-                if (raw.pending != before) {
+                if (raw.pendingBytes != before) {
                     incomplete(a);
                 } else {
                     spoilt();
@@ -680,7 +683,7 @@
             stream = null;
             close(CloseReason.UNREADABLE);
             if (value != null) {
-                value.broken();
+                value.onSourceFailed();
             }
             if (a != null) {
                 end(a, CallOutcome.ERROR, null, NO_LOAD);
@@ -701,10 +704,10 @@
             current = null;
             stream = null;
             if (value != null) {
-                value.broken();
+                value.onSourceFailed();
             }
             if (a != null) {
-                if (written && raw.pending == 0) {
+                if (written && raw.pendingBytes == 0) {
                     learn(true);
                 }
                 end(a, written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, null, NO_LOAD);
--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -267,7 +267,7 @@
         }
         w.to(3000 + Math.max(0, lasting - 200));
         if (moved) {
-            w.discovery.move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 2));
+            w.discovery.reconnectTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), 2));
             w.settle();
         }
         w.to(3000 + lasting);
@@ -333,7 +333,7 @@
         w.to(1);
         EmbeddedChannel old = w.open.keySet().iterator().next();
         World.write(old, HEAD + World.chunk(list.substring(0, half)));
-        w.discovery.move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 2));
+        w.discovery.reconnectTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), 2));
         w.settle();
         EmbeddedChannel next = List.copyOf(w.open.keySet()).get(1);
         World.write(next, HEAD + World.chunk(list.substring(0, half)));
--- a/src/test/java/quotagateway/discovery/EndpointListParserTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListParserTest.java
@@ -205,8 +205,8 @@
             told.clear();
             Files.writeString(file, "{" + text + "}");
             GatewayConfig config = GatewayConfig.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()));
-            assertEquals((32 << 20) / 800, config.servers());
-            config.known().read(reader);
+            assertEquals((32 << 20) / 800, config.maxEndpoints());
+            config.cachedEndpoints().read(reader);
             assertEquals(List.of("begins", "changes 1000", "changes 200", "ends 41.0 whole drops"), told);
         }
         for (String none : List.of("", ",\"known\":null")) {
@@ -214,7 +214,7 @@
             assertEquals(
                     null,
                     GatewayConfig.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()))
-                            .known());
+                            .cachedEndpoints());
         }
         Json settings = Json.without("known", file).get("settings");
         assertEquals(Map.of(), settings.get("known").members());
--- a/src/test/java/quotagateway/log/EventLogTest.java
+++ b/src/test/java/quotagateway/log/EventLogTest.java
@@ -27,20 +27,20 @@
 
     @Test
     void beforeAShutdownEventsAreKeptAndNotWritten() {
-        log.add(1000.7, new NodeEvent.Abandoned("01"));
+        log.record(1000.7, new NodeEvent.RequestAbandoned("01"));
         assertEquals(List.of(), lines());
     }
 
     @Test
     void inAShutdownEventsAreWrittenAsTheyHappen() {
-        log.writeAll();
-        log.add(1000.7, new NodeEvent.State(NodeState.DRAINING, 2907.6));
-        log.add(1001, new NodeEvent.Taken("01", "read", 7, 350.4, 2, 1500));
-        log.add(1002, new NodeEvent.Sent("01", 1, "s0", CallOutcome.RESET));
-        log.add(1003, new NodeEvent.Ended("01", 1, "s0", CallOutcome.TIMEOUT, 12.4));
-        log.add(1004, new NodeEvent.Answered("01", RequestOutcome.FAULTED, FailureReason.DEADLINE));
-        log.add(1005, new NodeEvent.ClientClosed(7, CloseReason.SHUTDOWN_ANSWERED, 360, 3, 0));
-        log.add(1006, new NodeEvent.ServerClosed("s0", CloseReason.ATTEMPT_GIVEN_UP));
+        log.writeImmediately();
+        log.record(1000.7, new NodeEvent.StateEntered(NodeState.DRAINING, 2907.6));
+        log.record(1001, new NodeEvent.RequestAccepted("01", "read", 7, 350.4, 2, 1500));
+        log.record(1002, new NodeEvent.AttemptSent("01", 1, "s0", CallOutcome.RESET));
+        log.record(1003, new NodeEvent.AttemptEnded("01", 1, "s0", CallOutcome.TIMEOUT, 12.4));
+        log.record(1004, new NodeEvent.RequestCompleted("01", RequestOutcome.FAULTED, FailureReason.DEADLINE));
+        log.record(1005, new NodeEvent.ClientConnectionClosed(7, CloseReason.SHUTDOWN_ANSWERED, 360, 3, 0));
+        log.record(1006, new NodeEvent.EndpointConnectionClosed("s0", CloseReason.ATTEMPT_GIVEN_UP));
         assertEquals(
                 List.of(
                         "t=1000 state to=DRAINING answers_due_in=2908",
@@ -55,8 +55,8 @@
 
     @Test
     void whatLedToAnEventIsToldOfItsRequestAlone() {
-        log.add(1, new NodeEvent.Abandoned("01"));
-        log.add(2, new NodeEvent.Abandoned("02"));
+        log.record(1, new NodeEvent.RequestAbandoned("01"));
+        log.record(2, new NodeEvent.RequestAbandoned("02"));
         log.explain("02");
         assertEquals(List.of("t=2 abandoned request=02"), lines());
     }
@@ -64,7 +64,7 @@
     @Test
     void theMemoryIsBounded() {
         for (int i = 0; i < 10_000; i++) {
-            log.add(i, new NodeEvent.Abandoned("01"));
+            log.record(i, new NodeEvent.RequestAbandoned("01"));
         }
         log.explain("01");
         List<String> lines = lines();
@@ -74,9 +74,9 @@
 
     @Test
     void soManyLinesAndNoMoreAreWritten() {
-        log.writeAll();
+        log.writeImmediately();
         for (int i = 0; i < 10_000; i++) {
-            log.add(i, new NodeEvent.Abandoned("01"));
+            log.record(i, new NodeEvent.RequestAbandoned("01"));
         }
         assertEquals(4000, lines().size());
     }
--- a/src/test/java/quotagateway/node/AdminServerTest.java
+++ b/src/test/java/quotagateway/node/AdminServerTest.java
@@ -15,7 +15,7 @@
 /** Calls at the operators' door: good ones, wrong ones, and callers that never finish one. */
 class AdminServerTest extends NodeFixture {
     private Peer.Line caller() throws Exception {
-        Peer.Line line = Peer.Line.to(((InetSocketAddress) node.control()).getPort());
+        Peer.Line line = Peer.Line.to(((InetSocketAddress) node.adminAddress()).getPort());
         open.add(line);
         return line;
     }
@@ -90,8 +90,8 @@
     void withoutAnAddressThereIsNoDoor() throws Exception {
         GatewayConfig config =
                 GatewayConfig.of(Json.read(config().replace("\"control\":\"127.0.0.1:0\",", "")), Map.of());
-        assertNull(config.control());
+        assertNull(config.adminAddress());
         config = GatewayConfig.of(Json.read(config()), Map.of("EDGE_CONTROL", "127.0.0.2:7000"));
-        assertEquals(new InetSocketAddress("127.0.0.2", 7000), config.control());
+        assertEquals(new InetSocketAddress("127.0.0.2", 7000), config.adminAddress());
     }
 }
--- a/src/test/java/quotagateway/node/DiscoveryWatchTest.java
+++ b/src/test/java/quotagateway/node/DiscoveryWatchTest.java
@@ -75,14 +75,14 @@
         Peer.Line quiet = discovery.accept();
         assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", quiet.line());
         watch = discovery.accept();
-        assertEquals(null, node.address(), "it listens by the list known from before");
+        assertEquals(null, node.listenAddress(), "it listens by the list known from before");
         watch.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         push(list(42, false, entry("s0", app.address(), "leaving")));
         expect("whole s0 UP");
         expect("discovery failed");
         expect("changes s0 DRAINING");
         starting.join();
-        assertNotNull(node.address());
+        assertNotNull(node.listenAddress());
     }
 
     /** After a watch that worked the next comes at once, not after the wait for one that cannot be had. */
--- a/src/test/java/quotagateway/node/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -47,7 +47,7 @@
     private static Attempt before(CallOutcome outcome, EndpointDescriptor place) {
         Attempt attempt = new Attempt(null, 0, "s", 0, place);
         attempt.outcome = outcome;
-        attempt.done = outcome != null;
+        attempt.ended = outcome != null;
         return attempt;
     }
 
--- a/src/test/java/quotagateway/node/MetricsTest.java
+++ b/src/test/java/quotagateway/node/MetricsTest.java
@@ -60,11 +60,11 @@
             # HELP edge_edge_out_of_rotation Listed place servers that get nothing new at present.
             # TYPE edge_edge_out_of_rotation gauge
             edge_edge_out_of_rotation 9
-            """, metrics.text(7, 8, 9));
-        metrics.ended("no class of the settings", RequestOutcome.FAULTED);
+            """, metrics.render(7, 8, 9));
+        metrics.countCompleted("no class of the settings", RequestOutcome.FAULTED);
         assertEquals(
                 0,
-                samples(metrics.text(0, 0, 0)).values().stream()
+                samples(metrics.render(0, 0, 0)).values().stream()
                         .mapToLong(n -> n)
                         .sum());
     }
@@ -114,14 +114,14 @@
     @Test
     void refusalsRetriesAndClosesAreCountedByReason() {
         Metrics metrics = new Metrics(List.of());
-        metrics.unserved(RequestOutcome.THROTTLED, FailureReason.QUOTA_SHORT);
-        metrics.unserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
-        metrics.unserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
-        metrics.unserved(RequestOutcome.FAULTED, null);
-        metrics.retried(CallOutcome.RESET);
-        metrics.clientClosed(CloseReason.SHUTDOWN_IDLE);
-        metrics.serverClosed(CloseReason.RETIRED);
-        Map<String, Long> samples = samples(metrics.text(0, 0, 0));
+        metrics.countUnserved(RequestOutcome.THROTTLED, FailureReason.QUOTA_SHORT);
+        metrics.countUnserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
+        metrics.countUnserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
+        metrics.countUnserved(RequestOutcome.FAULTED, null);
+        metrics.countRetry(CallOutcome.RESET);
+        metrics.countClientClosed(CloseReason.SHUTDOWN_IDLE);
+        metrics.countEndpointClosed(CloseReason.RETIRED);
+        Map<String, Long> samples = samples(metrics.render(0, 0, 0));
         samples.values().removeIf(n -> n == 0);
         assertEquals(
                 Map.of(
--- a/src/test/java/quotagateway/node/NodeFixture.java
+++ b/src/test/java/quotagateway/node/NodeFixture.java
@@ -264,14 +264,14 @@
     }
 
     Peer.Line client() throws IOException {
-        Peer.Line line = Peer.Line.to(((InetSocketAddress) node.address()).getPort());
+        Peer.Line line = Peer.Line.to(((InetSocketAddress) node.listenAddress()).getPort());
         open.add(line);
         return line;
     }
 
     /** A call at the operators' door of this node; its status, and what came with it. */
     static List<String> admin(GatewayNode at, String method, String path) throws IOException {
-        try (Peer.Line line = Peer.Line.to(((InetSocketAddress) at.control()).getPort())) {
+        try (Peer.Line line = Peer.Line.to(((InetSocketAddress) at.adminAddress()).getPort())) {
             line.write(method + " " + path + " HTTP/1.1\r\nHost: edge\r\n\r\n");
             return answer(line);
         }
--- a/src/test/java/quotagateway/node/ProcessHandoverTest.java
+++ b/src/test/java/quotagateway/node/ProcessHandoverTest.java
@@ -26,7 +26,7 @@
         half.write("*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n02\r\n$19\r\n");
         half.write("c=re");
 
-        listen = ((InetSocketAddress) old.address()).getPort();
+        listen = ((InetSocketAddress) old.listenAddress()).getPort();
         start();
         assertEquals("200", admin(node, "GET", "/admin/health").get(0));
         Thread draining = new Thread(old::drain);
@@ -54,16 +54,16 @@
     void aProcessKnowsWhetherAnotherHasTakenItsPlace() throws Exception {
         Path folder = state;
         ProcessHandover first = new ProcessHandover(folder, "n0");
-        assertFalse(first.succeeded(), "no file yet");
-        assertFalse(first.beside());
+        assertFalse(first.hasSuccessor(), "no file yet");
+        assertFalse(first.hasPredecessor());
         first.claim();
-        assertTrue(new ProcessHandover(folder, "n0").beside());
-        assertFalse(first.succeeded());
+        assertTrue(new ProcessHandover(folder, "n0").hasPredecessor());
+        assertFalse(first.hasSuccessor());
         ProcessHandover second = new ProcessHandover(folder, "n0");
         second.claim();
-        assertTrue(first.succeeded());
-        assertFalse(second.succeeded());
-        assertFalse(new ProcessHandover(folder.resolve("none"), "n0").succeeded(), "no such folder");
+        assertTrue(first.hasSuccessor());
+        assertFalse(second.hasSuccessor());
+        assertFalse(new ProcessHandover(folder.resolve("none"), "n0").hasSuccessor(), "no such folder");
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count(), "nothing half written is left");
         }
--- a/src/test/java/quotagateway/node/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -90,7 +90,7 @@
                     return script;
                 });
         node.start();
-        assertNotNull(node.address());
+        assertNotNull(node.listenAddress());
         Peer.Line client = client();
         client.command("PING");
         assertEquals(List.of("+PONG"), client.message());
@@ -108,6 +108,6 @@
                     return script;
                 });
         node.start();
-        assertNotNull(node.address());
+        assertNotNull(node.listenAddress());
     }
 }
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -117,9 +117,9 @@
     void aFileThatCannotBeReadIsLeftAlone() throws Exception {
         start();
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        node.reload(() -> GatewayConfig.again(Map.of("EDGE_CONFIG", file.toString())));
-        node.reload(() ->
-                GatewayConfig.again(Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
+        node.reload(() -> GatewayConfig.reload(Map.of("EDGE_CONFIG", file.toString())));
+        node.reload(() -> GatewayConfig.reload(
+                Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
         push(list(42, false, entry("s0", app.address(), "leaving")));
         expect("changes s0 DRAINING");
     }
@@ -131,8 +131,9 @@
         Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
         assertEquals(
                 "127.0.0.9:1",
-                GatewayConfig.fromEnvironment(env).discovery().toString().substring(1));
-        assertEquals(discovery.port(), GatewayConfig.again(env).discovery().getPort());
+                GatewayConfig.fromEnvironment(env).discoveryAddress().toString().substring(1));
+        assertEquals(
+                discovery.port(), GatewayConfig.reload(env).discoveryAddress().getPort());
     }
 
     /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
--- a/src/test/java/quotagateway/node/RequestEndTest.java
+++ b/src/test/java/quotagateway/node/RequestEndTest.java
@@ -105,7 +105,7 @@
         drained = true;
         node.drain();
         starting.get();
-        assertNull(node.address());
+        assertNull(node.listenAddress());
         assertThrows(ConnectException.class, () -> Peer.Line.to(listen));
     }
 
@@ -266,7 +266,7 @@
     private Peer.Line smallWindow() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
-        socket.connect(node.address());
+        socket.connect(node.listenAddress());
         Peer.Line client = new Peer.Line(socket);
         open.add(client);
         return client;
