--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -3,6 +3,8 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.BufferedReader;
+import java.io.FileDescriptor;
+import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.io.PrintStream;
@@ -21,81 +23,110 @@
 import quotagateway.startup.StartupTimeline;
 
 /**
- * The command line: {@code simulate} speaks the simulator's wire, {@code serve} is a real edge node, and
- * {@code record-startup} starts one at build time for the archive of classes.
+ * The command line of the gateway. It is parsed by hand: a parser library was measured at 0.19 s of CPU, about half of
+ * what a whole start takes, and there are three commands without options.
  */
 public final class Main {
-    private static final ReloadSignal HANGUP = new ReloadSignal();
+    /** Exit code where the simulator's input could not be understood, or the gateway could not start. */
+    private static final int EXIT_FAILED = 1;
+    /** Exit code of a wrong command line or configuration. */
+    private static final int EXIT_USAGE = 2;
+
+    private static final int INPUT_BUFFER_BYTES = 1 << 16;
+    private static final String USAGE = "usage: quota-gateway serve | simulate | record-startup | --help | --version";
+    private static final String HELP = USAGE + """
+
+
+            serve           run one gateway, configured by the file that EDGE_CONFIG names
+            simulate        make the same decisions for the simulator, on standard input and output
+            record-startup  start and stop a gateway among stand-ins, for the archive of loaded classes
+
+            SIGHUP makes a serving gateway read the addresses of discovery and the counter again; SIGTERM makes it answer
+            what it has accepted and exit.
+            """;
+
+    private static final ReloadSignal RELOAD_SIGNAL = new ReloadSignal();
 
     private Main() {}
 
-    /** Runs the command and exits non-zero with one plain line where the input is malformed. */
+    /** Runs one command; a wrong one is reported in one line, with exit code 2. */
     public static void main(String[] args) throws IOException {
-        if (args.length == 1 && args[0].equals("serve")) {
-            HANGUP.caught(); // before all else: until then SIGHUP ends the process
-            serve();
-            return;
+        switch (args.length == 1 ? args[0] : "") {
+            case "serve" -> serve();
+            case "simulate" -> simulate();
+            case "record-startup" -> recordStartup();
+            case "--help" -> System.out.print(HELP);
+            case "--version" -> System.out.println("quota-gateway " + version());
+            default -> {
+                System.err.println(USAGE);
+                System.exit(EXIT_USAGE);
+            }
         }
-        if (args.length == 1 && args[0].equals("record-startup")) {
-            recordStartup();
-            return;
-        }
-        if (args.length != 1 || !args[0].equals("simulate")) {
-            System.err.println("usage: quota-gateway serve | simulate | record-startup");
-            System.exit(2);
-        }
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
-        PrintStream out = new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false);
-        try {
-            new SimulatorHost().run(in, out);
-        } catch (MalformedInputException bad) {
-            System.err.println(bad.getMessage());
-            System.exit(1);
-        }
-        out.flush();
+    }
+
+    private static String version() {
+        String version = Main.class.getPackage().getImplementationVersion();
+        return version == null ? "(not run from its jar)" : version;
     }
 
     private static void serve() throws IOException {
+        RELOAD_SIGNAL.caught(); // before all else: until then a SIGHUP ends the process
         StartupTimeline.phaseEnded("JVM");
-        begin(System.getenv());
+        startGateway(System.getenv());
     }
 
-    /** The same start among stand-ins, and the same end. */
+    /** The same start among stand-ins; the JVM writes the class archive when the process exits. */
     private static void recordStartup() throws IOException {
-        try (StartupRecording stage = new StartupRecording()) {
-            HANGUP.caught();
+        try (StartupRecording recording = new StartupRecording()) {
+            RELOAD_SIGNAL.caught();
             StartupTimeline.phaseEnded("JVM");
-            GatewayNode node = begin(stage.environment());
-            stage.ask((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
-            System.exit(0); // the archive is written at the exit, after the drain
+            GatewayNode node = startGateway(recording.environment());
+            recording.exercise((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
+            System.exit(0);
         }
     }
 
-    private static GatewayNode begin(Map<String, String> environment) throws IOException {
-        // at once: else Netty looks through all jars for three other loggers that are not there
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        GatewayConfig config;
+    private static void simulate() throws IOException {
+        BufferedReader input =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), INPUT_BUFFER_BYTES);
+        PrintStream output = new PrintStream(new FileOutputStream(FileDescriptor.out), false);
         try {
-            config = GatewayConfig.fromEnvironment(environment);
-        } catch (IllegalArgumentException | InvalidSettingException bad) {
-            System.err.println("configuration: " + bad.getMessage());
-            System.exit(2);
-            return null;
+            new SimulatorHost().run(input, output);
+        } catch (MalformedInputException e) {
+            System.err.println(e.getMessage());
+            System.exit(EXIT_FAILED);
         }
+        output.flush();
+    }
+
+    private static GatewayNode startGateway(Map<String, String> environment) throws IOException {
+        // First of all: by itself Netty searches every jar for three other logging libraries that are not there.
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+        GatewayConfig config = readConfig(environment);
         StartupTimeline.phaseEnded("configuration");
         JitWarmup.run(config.settings(), Policy::new);
         StartupTimeline.phaseEnded("warm-up");
         GatewayNode node = new GatewayNode(config, Policy::new);
-        Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain")); // SIGTERM may cross the bind
-        // before the bind: who sees the node come up may send the signal in that moment
-        HANGUP.to(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
+        // Both signals are handled before the node listens: whoever sees it come up may send one at that moment.
+        Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
+        RELOAD_SIGNAL.to(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
         try {
             node.start(StartupTimeline.elapsedMs());
-        } catch (IOException bad) {
-            System.err.println("start: " + bad.getMessage());
-            Runtime.getRuntime().halt(1); // nothing was taken: there is nothing to drain
+        } catch (IOException e) {
+            System.err.println("start: " + e.getMessage());
+            Runtime.getRuntime().halt(EXIT_FAILED); // nothing was accepted, so there is nothing to drain
         }
         StartupTimeline.log("bind");
         return node;
     }
+
+    private static GatewayConfig readConfig(Map<String, String> environment) throws IOException {
+        try {
+            return GatewayConfig.fromEnvironment(environment);
+        } catch (InvalidSettingException e) {
+            System.err.println("configuration: " + e.describe());
+            System.exit(EXIT_USAGE);
+            throw e;
+        }
+    }
 }
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -5,14 +5,26 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.StringJoiner;
 import quotagateway.policy.api.PolicySettings;
 import quotagateway.transport.PackedAddress;
 
 /**
- * What this edge node is told at its start. The times are milliseconds; counter, control and known are null
- * where it is told none. The folder is the one place where it may write; servers is the length of the longest
- * list that its memory bears, see {@link #most}.
+ * The configuration of a gateway, read from the file that {@code EDGE_CONFIG} names and from further environment
+ * variables, which take precedence.
+ *
+ * @param name the gateway's name, the same after a restart
+ * @param listenAddress where clients connect
+ * @param discoveryAddress where endpoint lists come from
+ * @param counterAddress the shared counter, null where there is none
+ * @param adminAddress where the admin endpoint listens, null where there is none
+ * @param stateDirectory the one directory that the process may write to
+ * @param seed of all random draws, new with each start
+ * @param maxSockets file descriptors that the process may hold
+ * @param cachedEndpoints the endpoint list of an earlier process, null where there is none
+ * @param settings what the policy is told
+ * @param keepAliveMs how long an endpoint keeps an idle connection
+ * @param connectTimeoutMs how long a connection to an endpoint may take to come up
+ * @param maxEndpoints the longest endpoint list that the memory limit bears
  */
 public record GatewayConfig(
         String name,
@@ -28,100 +40,113 @@
         double keepAliveMs,
         double connectTimeoutMs,
         int maxEndpoints) {
+    private static final String CONFIG_FILE_VARIABLE = "EDGE_CONFIG";
+    private static final String NAME_VARIABLE = "EDGE_NAME";
+    private static final String LISTEN_VARIABLE = "EDGE_LISTEN";
+    private static final String DISCOVERY_VARIABLE = "EDGE_DISCOVERY";
+    private static final String ADMIN_VARIABLE = "EDGE_CONTROL";
+    /** The member with the cached endpoint list: read when wanted, as it may be too long to hold in memory. */
+    private static final String CACHED_ENDPOINTS = "known";
 
     /** Where the settings say nothing of connections. */
-    private static final double KEEP_ALIVE = 15_000;
+    private static final double DEFAULT_KEEP_ALIVE_MS = 15_000;
 
-    private static final double CONNECT_TIMEOUT = 250;
-    private static final int SOCKETS = 1024;
-    /** MB, where no limit is told: what the deploy file's flags are for. */
-    private static final double MEMORY = 192;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    /** Where no limits are configured: what the flags of the deploy file are made for. */
+    private static final int DEFAULT_SOCKETS = 1024;
 
-    /** What a node may spend on one server (bytes): of 192 MB a quarter of a million, of 32 some 42,000. */
-    private static final int BYTES_A_SERVER = 800;
+    private static final double DEFAULT_MEMORY_MB = 192;
+    private static final int BYTES_PER_MB = 1 << 20;
+    /** Memory that one listed endpoint may cost: 192 MB bear a quarter of a million, 32 MB some 42,000. */
+    private static final int BYTES_PER_ENDPOINT = 800;
 
-    /** Reads the file that EDGE_CONFIG names; the other variables win over it. */
-    public static GatewayConfig fromEnvironment(Map<String, String> env) throws IOException {
-        String file = env.get("EDGE_CONFIG");
-        if (file == null || file.isEmpty()) {
-            throw new IllegalArgumentException("EDGE_CONFIG is not set");
+    /**
+     * Reads the configuration that an environment names.
+     *
+     * @throws IOException where the file cannot be read or is no JSON
+     * @throws InvalidSettingException where a value is missing or cannot be understood
+     */
+    public static GatewayConfig fromEnvironment(Map<String, String> environment) throws IOException {
+        String file = environment.getOrDefault(CONFIG_FILE_VARIABLE, "");
+        if (file.isEmpty()) {
+            throw new InvalidSettingException(CONFIG_FILE_VARIABLE, "not set");
         }
         Path path = Path.of(file);
-        Json root = Json.without("known", path);
-        return of(root, env, to -> Json.member("known", path, to::read));
+        Json root = Json.without(CACHED_ENDPOINTS, path);
+        return of(root, environment, reader -> Json.member(CACHED_ENDPOINTS, path, reader::read));
     }
 
-    /** The file as it is now, for a running edge node: the variables are those of its start. */
-    public static GatewayConfig reload(Map<String, String> env) throws IOException {
-        Map<String, String> rest = new HashMap<>(env);
-        rest.remove("EDGE_DISCOVERY");
-        return fromEnvironment(rest);
+    /**
+     * Reads the configuration again while the gateway runs. The variables are those of its start, so the file's address
+     * of discovery takes precedence now. Errors as with {@link #fromEnvironment}.
+     */
+    public static GatewayConfig reload(Map<String, String> environment) throws IOException {
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove(DISCOVERY_VARIABLE);
+        return fromEnvironment(remaining);
     }
 
-    public static GatewayConfig of(Json root, Map<String, String> env) {
-        return of(root, env, to -> to.read(root.get("known")));
+    /** Reads a configuration that is in memory. Errors as with {@link #fromEnvironment}. */
+    public static GatewayConfig of(Json root, Map<String, String> environment) {
+        return of(root, environment, reader -> reader.read(root.get(CACHED_ENDPOINTS)));
     }
 
-    private static GatewayConfig of(Json root, Map<String, String> env, CachedEndpointList known) {
-        Map<String, String> keys = new HashMap<>();
-        flatten("", root.get("settings"), keys);
-        double idle = SettingsReader.number(keys, "limits.keepalive");
-        double connect = SettingsReader.number(keys, "limits.connect_timeout");
-        String counter = root.get("counter").text("");
-        String control = env.getOrDefault("EDGE_CONTROL", root.get("control").text(""));
+    private static GatewayConfig of(Json root, Map<String, String> environment, CachedEndpointList cachedEndpoints) {
+        Map<String, String> values = SettingsFlattener.flatten(root.get("settings"));
+        Json limits = root.get("limits");
         return new GatewayConfig(
-                text(env, "EDGE_NAME", root, "name"),
-                PackedAddress.parse(text(env, "EDGE_LISTEN", root, "listen")),
-                PackedAddress.parse(text(env, "EDGE_DISCOVERY", root, "discovery")),
-                counter.isEmpty() ? null : PackedAddress.parse(counter),
-                control.isEmpty() ? null : PackedAddress.parse(control),
-                Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
+                requiredText(environment, NAME_VARIABLE, root, "name"),
+                address("listen", requiredText(environment, LISTEN_VARIABLE, root, "listen")),
+                address("discovery", requiredText(environment, DISCOVERY_VARIABLE, root, "discovery")),
+                optionalAddress("counter", root.get("counter").text("")),
+                optionalAddress(
+                        "control",
+                        environment.getOrDefault(
+                                ADMIN_VARIABLE, root.get("control").text(""))),
+                Path.of(environment.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
                 seed(root.get("seed").text("0")),
-                (int) root.get("limits").get("sockets").number(SOCKETS),
-                root.get("known").isNull() ? null : known,
-                SettingsReader.read(keys),
-                idle > 0 ? idle : KEEP_ALIVE,
-                connect > 0 ? connect : CONNECT_TIMEOUT,
-                most(root.get("limits").get("memory_mb").number(MEMORY)));
+                (int) limits.get("sockets").number(DEFAULT_SOCKETS),
+                root.get(CACHED_ENDPOINTS).isNull() ? null : cachedEndpoints,
+                SettingsReader.read(values),
+                positiveOr(SettingsReader.number(values, "limits.keepalive"), DEFAULT_KEEP_ALIVE_MS),
+                positiveOr(SettingsReader.number(values, "limits.connect_timeout"), DEFAULT_CONNECT_TIMEOUT_MS),
+                maxEndpoints(limits.get("memory_mb").number(DEFAULT_MEMORY_MB)));
     }
 
-    private static String text(Map<String, String> env, String variable, Json root, String key) {
-        String value = env.getOrDefault(variable, root.get(key).text(""));
+    private static String requiredText(Map<String, String> environment, String variable, Json root, String member) {
+        String value = environment.getOrDefault(variable, root.get(member).text(""));
         if (value.isEmpty()) {
-            throw new IllegalArgumentException("neither " + variable + " nor '" + key + "' is set");
+            throw new InvalidSettingException(member, "neither " + variable + " nor '" + member + "' is set");
         }
         return value;
     }
 
-    private static long seed(String hex) {
+    private static InetSocketAddress optionalAddress(String member, String value) {
+        return value.isEmpty() ? null : address(member, value);
+    }
+
+    private static InetSocketAddress address(String member, String value) {
         try {
-            return Long.parseUnsignedLong(hex, 16);
-        } catch (NumberFormatException e) {
-            return hex.hashCode();
+            return PackedAddress.parse(value);
+        } catch (IllegalArgumentException e) {
+            throw new InvalidSettingException(member, e.getMessage());
         }
     }
 
-    /** How many servers a list may have where this is the limit of memory (MB). */
-    private static int most(double memory) {
-        return (int) Math.min(Integer.MAX_VALUE, memory * (1 << 20) / BYTES_A_SERVER);
+    private static double positiveOr(double value, double fallback) {
+        return value > 0 ? value : fallback;
     }
 
-    /** The settings as the simulator's wire writes them: a path a value, lists of plain values by commas. */
-    private static void flatten(String path, Json node, Map<String, String> keys) {
-        String at = path.isEmpty() ? "" : path + ".";
-        if (node.isObject()) {
-            node.members().forEach((name, value) -> flatten(at + name, value, keys));
-        } else if (node.elements().stream().anyMatch(v -> v.isObject() || v.isArray())) {
-            keys.put(at + "count", Integer.toString(node.elements().size()));
-            for (int i = 0; i < node.elements().size(); i++) {
-                flatten(at + i, node.elements().get(i), keys);
-            }
-        } else if (node.isArray()) {
-            StringJoiner values = new StringJoiner(",");
-            node.elements().forEach(v -> values.add(v.text("")));
-            keys.put(path, values.toString());
-        } else if (!node.isNull()) {
-            keys.put(path, node.text(""));
+    /** A seed in hexadecimal digits; any other text is a seed too. */
+    private static long seed(String text) {
+        try {
+            return Long.parseUnsignedLong(text, 16);
+        } catch (NumberFormatException e) {
+            return text.hashCode();
         }
     }
+
+    private static int maxEndpoints(double memoryMb) {
+        return (int) Math.min(Integer.MAX_VALUE, memoryMb * BYTES_PER_MB / BYTES_PER_ENDPOINT);
+    }
 }
--- a/src/main/java/quotagateway/config/Json.java
+++ b/src/main/java/quotagateway/config/Json.java
@@ -13,118 +13,126 @@
 import java.util.Map;
 
 /**
- * A JSON value: the library's parser, without its data binding, whose classes cost a tenth of a start. What
- * is absent, null or of another kind reads as the fallback. A value is a map, a list, or text here.
+ * A JSON value in memory, built on Jackson's streaming parser. Jackson's data binding is left out, as its classes cost
+ * a tenth of a start. A value is a map, a list, text (numbers and booleans as well) or null; a value that is absent,
+ * null or of another kind reads as the caller's fallback.
  */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
-    private static final int DEEPEST = 32;
-    private static final Json NONE = new Json(null);
+    /** A document nested deeper is refused, before the recursion can exhaust the stack. */
+    private static final int MAX_DEPTH = 32;
+
+    private static final Json NULL = new Json(null);
+
     private final Object value;
 
     private Json(Object value) {
         this.value = value;
     }
 
-    static Json read(byte[] text) throws IOException {
-        return whole(FACTORY.createParser(text));
+    /** What reads on from a parser's place in a text. */
+    interface ParserReader {
+        void read(JsonParser parser) throws IOException;
     }
 
+    /** Parses a document; throws {@link IOException} where it is no JSON or nested too deep. */
     public static Json read(String text) throws IOException {
-        return whole(FACTORY.createParser(text));
+        return document(FACTORY.createParser(text));
     }
 
-    /** What follows a parser's place in a text. */
-    interface Reader {
-        void read(JsonParser at) throws IOException;
+    static Json read(byte[] text) throws IOException {
+        return document(FACTORY.createParser(text));
     }
 
-    /** An object without the value of one member, which may be too large to hold: that is an empty one. */
+    /** Parses a file with an object, without the value of one member that may be too large to hold: it is left empty. */
     public static Json without(String member, Path file) throws IOException {
-        Map<String, Json> all = new LinkedHashMap<>();
-        each(file, in -> {
-            String name = in.currentName();
-            boolean left = in.nextToken() == JsonToken.START_OBJECT && name.equals(member);
-            all.put(name, left ? new Json(Map.of()) : of(in, 1));
-            if (left) {
-                in.skipChildren();
+        Map<String, Json> members = new LinkedHashMap<>();
+        forEachMember(file, parser -> {
+            String name = parser.currentName();
+            boolean skipped = parser.nextToken() == JsonToken.START_OBJECT && name.equals(member);
+            members.put(name, skipped ? new Json(Map.of()) : value(parser, 1));
+            if (skipped) {
+                parser.skipChildren();
             }
         });
-        return new Json(all);
+        return new Json(members);
     }
 
-    /** The value of one member, as its text is read. */
-    static void member(String member, Path file, Reader to) throws IOException {
-        each(file, in -> {
-            boolean wanted = in.currentName().equals(member);
-            in.nextToken();
+    /** Hands the value of one member of a file's object to a reader, as its text is parsed. */
+    static void member(String member, Path file, ParserReader reader) throws IOException {
+        forEachMember(file, parser -> {
+            boolean wanted = parser.currentName().equals(member);
+            parser.nextToken();
             if (wanted) {
-                to.read(in);
+                reader.read(parser);
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         });
     }
 
-    private static void each(Path file, Reader member) throws IOException {
+    private static void forEachMember(Path file, ParserReader memberReader) throws IOException {
         try (InputStream text = Files.newInputStream(file);
-                JsonParser in = FACTORY.createParser(text)) {
-            if (in.nextToken() == JsonToken.START_OBJECT) {
-                while (in.nextToken() == JsonToken.FIELD_NAME) {
-                    member.read(in);
+                JsonParser parser = FACTORY.createParser(text)) {
+            if (parser.nextToken() == JsonToken.START_OBJECT) {
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    memberReader.read(parser);
                 }
             }
         }
     }
 
-    private static Json whole(JsonParser in) throws IOException {
-        try (in) {
-            return in.nextToken() == null ? NONE : of(in, 0);
+    private static Json document(JsonParser parser) throws IOException {
+        try (parser) {
+            return parser.nextToken() == null ? NULL : value(parser, 0);
         }
     }
 
-    private static Json of(JsonParser in, int depth) throws IOException {
-        if (depth > DEEPEST) {
+    private static Json value(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_DEPTH) {
             throw new IOException("JSON is nested too deep");
         }
-        switch (in.currentToken()) {
-            case START_OBJECT -> {
-                Map<String, Json> all = new LinkedHashMap<>();
-                while (in.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    all.put(name, of(in, depth + 1));
-                }
-                return new Json(all);
-            }
-            case START_ARRAY -> {
-                List<Json> all = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    all.add(of(in, depth + 1));
-                }
-                return new Json(all);
-            }
-            case VALUE_NULL -> {
-                return NONE;
-            }
-            default -> {
-                return new Json(in.getText());
-            }
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> object(parser, depth);
+            case START_ARRAY -> array(parser, depth);
+            case VALUE_NULL -> NULL;
+            default -> new Json(parser.getText());
+        };
+    }
+
+    private static Json object(JsonParser parser, int depth) throws IOException {
+        Map<String, Json> members = new LinkedHashMap<>();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            members.put(name, value(parser, depth + 1));
+        }
+        return new Json(members);
+    }
+
+    private static Json array(JsonParser parser, int depth) throws IOException {
+        List<Json> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(value(parser, depth + 1));
         }
+        return new Json(elements);
     }
 
-    @SuppressWarnings("unchecked")
+    /** The members of an object in their order; empty for any other value. */
+    @SuppressWarnings("unchecked") // a map in here is only ever made with these types
     public Map<String, Json> members() {
         return value instanceof Map ? (Map<String, Json>) value : Map.of();
     }
 
-    @SuppressWarnings("unchecked")
+    /** The elements of an array; empty for any other value. */
+    @SuppressWarnings("unchecked") // a list in here is only ever made with this type
     public List<Json> elements() {
         return value instanceof List ? (List<Json>) value : List.of();
     }
 
+    /** A member of an object; the null value where there is none. */
     public Json get(String name) {
-        return members().getOrDefault(name, NONE);
+        return members().getOrDefault(name, NULL);
     }
 
     boolean isNull() {
@@ -139,19 +147,21 @@
         return value instanceof List;
     }
 
-    public String text(String other) {
-        return value instanceof String text ? text : other;
+    /** The text of a string, number or boolean. */
+    public String text(String fallback) {
+        return value instanceof String text ? text : fallback;
     }
 
     public boolean isTrue() {
         return "true".equals(value);
     }
 
-    public double number(double other) {
+    /** The number in a number or string. */
+    public double number(double fallback) {
         try {
-            return value instanceof String text ? Double.parseDouble(text) : other;
+            return value instanceof String text ? Double.parseDouble(text) : fallback;
         } catch (NumberFormatException e) {
-            return other;
+            return fallback;
         }
     }
 }
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -30,62 +30,66 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * Runs the code of the ordinary path before the edge node is ready, so that the JVM has compiled it: on part
- * of a core the first seconds of cold code make answers late. A module of its own, no sockets, a own clock.
+ * Runs the code of an ordinary request before the gateway is ready, so that the JIT compiler has seen it: with a part of
+ * a core, the first seconds of interpreted code make responses late. It uses a policy of its own, no sockets, and a
+ * clock of its own.
  */
 public final class JitWarmup implements PolicyActions {
     /**
-     * A restart waits for them, and after a mass kill few others carry the load meanwhile: 100 rounds kept
-     * ten of 14 nodes away 0.6 s longer. 2 rounds left the first 5 s of a day on 0.15 of a core so cold that
-     * a tenth timed out. Most code runs several times a round, and so to the compiler's 200 calls; real
-     * requests warm the rest.
+     * A restart waits for the warm-up, and after a mass kill few other gateways carry the load meanwhile: 100 rounds
+     * kept ten of 14 nodes away 0.6 s longer. With 2 rounds the first 5 s of a day, on 0.15 of a core, were so slow that
+     * a tenth of the requests timed out. Most code runs several times a round and so reaches the compiler's threshold of
+     * 200 calls; real requests warm the rest.
      */
     private static final int ROUNDS = 40;
     /**
-     * Of the 10 s, and on short days 6 s, that a start may take, this (ms) is the most that goes here: on a
-     * seventh of a core beside others that start it would be more, and a cold node is better than none.
+     * The most that the warm-up takes (ms) of the 10 s, on short days 6 s, that a start may last. On a seventh of a core
+     * beside other processes that start it would take longer, and a gateway with interpreted code is better than none.
      */
     public static final double MOST_TIME = 2500;
 
-    private static final int SERVERS = 8;
+    private static final double NANOS_PER_MS = 1e6;
+    private static final int ENDPOINTS = 8;
     private static final int CUSTOMERS = 97;
-    private static final double STEP = 8;
-    /** Elements, as on the real connections. */
-    private static final int MOST = 16;
+    private static final int CUSTOMER_DIGITS = 16;
+    /** Time of the virtual clock between two rounds, and the time that an attempt takes. */
+    private static final double STEP_MS = 8;
+    /** Elements of an array at the most, as on the real connections. */
+    private static final int MAX_ELEMENTS = 16;
 
     private final PolicySettings settings;
-    private final PolicyEvents module;
-    private final EmbeddedChannel client = new EmbeddedChannel();
-    private final EmbeddedChannel server = new EmbeddedChannel();
-    private final Map<Long, Double> totals = new HashMap<>();
+    private final PolicyEvents policy;
+    private final EmbeddedChannel clientChannel = new EmbeddedChannel();
+    private final EmbeddedChannel endpointChannel = new EmbeddedChannel();
+    private final Map<Long, Double> counterTotals = new HashMap<>();
     private final PriorityQueue<Double> timers = new PriorityQueue<>();
-    private final ArrayDeque<Runnable> told = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
     private double now = 1000;
 
-    private JitWarmup(PolicySettings settings, PolicyFactory maker) {
+    private JitWarmup(PolicySettings settings, PolicyFactory policyFactory) {
         this.settings = settings;
-        RespCodec.codec(client.pipeline(), MOST);
-        RespCodec.codec(server.pipeline(), MOST);
-        module = maker.create(settings, 1, now, this);
-        List<EndpointDescriptor> list = new ArrayList<>();
-        for (int i = 0; i < SERVERS; i++) {
-            list.add(new EndpointDescriptor("w" + i, i, settings.zone(), EndpointState.UP, "", 0, 1, 0));
+        RespCodec.codec(clientChannel.pipeline(), MAX_ELEMENTS);
+        RespCodec.codec(endpointChannel.pipeline(), MAX_ELEMENTS);
+        policy = policyFactory.create(settings, 1, now, this);
+        List<EndpointDescriptor> endpoints = new ArrayList<>();
+        for (int i = 0; i < ENDPOINTS; i++) {
+            endpoints.add(new EndpointDescriptor("w" + i, i, settings.zone(), EndpointState.UP, "", 0, 1, 0));
         }
-        module.onEndpoints(now, list, true);
+        policy.onEndpoints(now, endpoints, true);
     }
 
-    /** Cold code is no reason not to start: what goes wrong here is told and left. */
-    public static void run(PolicySettings settings, PolicyFactory maker) {
-        run(settings, maker, () -> System.nanoTime() / 1e6);
+    /** Runs the warm-up. Interpreted code is no reason not to start: a failure in here is logged and left. */
+    public static void run(PolicySettings settings, PolicyFactory policyFactory) {
+        run(settings, policyFactory, () -> System.nanoTime() / NANOS_PER_MS);
     }
 
-    static void run(PolicySettings settings, PolicyFactory maker, DoubleSupplier clock) {
+    static void run(PolicySettings settings, PolicyFactory policyFactory, DoubleSupplier clockMs) {
         try {
-            double until = clock.getAsDouble() + MOST_TIME;
-            JitWarmup warmup = new JitWarmup(settings, maker);
-            boolean able =
+            double until = clockMs.getAsDouble() + MOST_TIME;
+            JitWarmup warmup = new JitWarmup(settings, policyFactory);
+            boolean hasRequests =
                     !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
-            for (int i = 1; able && i <= ROUNDS && clock.getAsDouble() < until; i++) {
+            for (int i = 1; hasRequests && i <= ROUNDS && clockMs.getAsDouble() < until; i++) {
                 warmup.round(i);
             }
             warmup.close();
@@ -95,56 +99,71 @@
     }
 
     private void close() {
-        client.finishAndReleaseAll();
-        server.finishAndReleaseAll();
-    }
-
-    private void round(int i) {
-        RequestClass type =
-                settings.requestClasses().get(i % settings.requestClasses().size());
-        QuotaPlan plan = settings.plans().get(i % settings.plans().size());
-        String verb = type.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
-        client.writeInbound(bytes(array(
-                verb,
-                customer(i % CUSTOMERS),
-                Integer.toHexString(i),
-                "c=" + type.name() + ",t=" + plan.name() + ",d=" + Math.round(type.deadline()) + ",k=" + i
-                        + ",units=1,spread=" + Math.min(2, settings.nodeCount()) + ",first=0")));
-        ArrayRedisMessage command = client.readInbound();
-        ClientCommand call = ClientCommand.parse(command, settings);
-        module.onRequest(
-                now,
-                new IncomingRequest(
-                        i,
-                        call.requestClass(),
-                        call.plan(),
-                        call.customer(),
-                        call.clientTimeoutMs(),
-                        call.units(),
-                        call.gatewayCount(),
-                        call.firstGateway(),
-                        call.retry()));
-        pass(server, call.encodeForEndpoint(command, call.clientTimeoutMs(), server.alloc()));
-        server.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
-        ArrayRedisMessage value = server.readInbound();
-        pass(client, ReferenceCountUtil.retain(value.children().get(0)));
-        pass(client, new ErrorRedisMessage("BUSY 2000"));
-        ReferenceCountUtil.release(value);
+        clientChannel.finishAndReleaseAll();
+        endpointChannel.finishAndReleaseAll();
+    }
+
+    /** One request from its bytes to its response, with the timers and events that have come due. */
+    private void round(int number) {
+        clientChannel.writeInbound(commandBytes(number));
+        ArrayRedisMessage command = clientChannel.readInbound();
+        ClientCommand parsed = ClientCommand.parse(command, settings);
+        policy.onRequest(now, request(number, parsed));
+        writeAndDrop(
+                endpointChannel, parsed.encodeForEndpoint(command, parsed.clientTimeoutMs(), endpointChannel.alloc()));
+        endpointChannel.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
+        ArrayRedisMessage response = endpointChannel.readInbound();
+        writeAndDrop(
+                clientChannel, ReferenceCountUtil.retain(response.children().get(0)));
+        writeAndDrop(clientChannel, new ErrorRedisMessage("BUSY 2000"));
+        ReferenceCountUtil.release(response);
         ReferenceCountUtil.release(command);
-        now += STEP;
-        for (int n = timers.size(); n > 0 && timers.peek() <= now; n--) { // a new one may be due at once
+        now += STEP_MS;
+        fireDueTimers();
+        runPendingEvents();
+    }
+
+    /** Only those that are there now: a new one may be due at once. */
+    private void fireDueTimers() {
+        for (int n = timers.size(); n > 0 && timers.peek() <= now; n--) {
             timers.poll();
-            module.onTimer(now, 0);
+            policy.onTimer(now, 0);
         }
-        for (int n = told.size(); n > 0; n--) {
-            told.poll().run();
+    }
+
+    private void runPendingEvents() {
+        for (int n = pendingEvents.size(); n > 0; n--) {
+            pendingEvents.poll().run();
         }
     }
 
-    /** 16 hex digits, without the formatter: its locales are among the dearest classes of a start. */
+    private ByteBuf commandBytes(int number) {
+        RequestClass requestClass =
+                settings.requestClasses().get(number % settings.requestClasses().size());
+        QuotaPlan plan = settings.plans().get(number % settings.plans().size());
+        String verb = requestClass.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
+        String fields = "c=" + requestClass.name() + ",t=" + plan.name() + ",d=" + Math.round(requestClass.deadline())
+                + ",k=" + number + ",units=1,spread=" + Math.min(2, settings.nodeCount()) + ",first=0";
+        return bytes(array(verb, customer(number % CUSTOMERS), Integer.toHexString(number), fields));
+    }
+
+    private static IncomingRequest request(int number, ClientCommand parsed) {
+        return new IncomingRequest(
+                number,
+                parsed.requestClass(),
+                parsed.plan(),
+                parsed.customer(),
+                parsed.clientTimeoutMs(),
+                parsed.units(),
+                parsed.gatewayCount(),
+                parsed.firstGateway(),
+                parsed.retry());
+    }
+
+    /** Hexadecimal digits without {@code Formatter}, whose locales are among the most expensive classes of a start. */
     private static String customer(int number) {
         String hex = Integer.toHexString(number);
-        return "0".repeat(16 - hex.length()) + hex;
+        return "0".repeat(CUSTOMER_DIGITS - hex.length()) + hex;
     }
 
     private static String array(String... words) {
@@ -159,40 +178,43 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
-    private static void pass(EmbeddedChannel channel, Object message) {
+    private static void writeAndDrop(EmbeddedChannel channel, Object message) {
         channel.writeOutbound(message);
-        for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-            ReferenceCountUtil.release(out);
+        for (Object written = channel.readOutbound(); written != null; written = channel.readOutbound()) {
+            ReferenceCountUtil.release(written);
         }
     }
 
+    // The host's side: attempts succeed, the counter adds, timers go by the clock of the rounds.
+
     @Override
-    public void sendAttempt(long id, String to, double until) {
-        told.add(() -> module.onAttemptEnded(now, id, 0, CallOutcome.OK, STEP, true, 0, EndpointPool.NO_LOAD));
+    public void sendAttempt(long requestId, String endpoint, double until) {
+        pendingEvents.add(
+                () -> policy.onAttemptEnded(now, requestId, 0, CallOutcome.OK, STEP_MS, true, 0, EndpointPool.NO_LOAD));
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepFor) {
-        double total = totals.merge(name, amount, Double::sum);
-        told.add(() -> module.onCounterReply(now, name, CallOutcome.OK, 1, total));
+    public void addToCounter(long name, double amount, double keepForMs) {
+        double total = counterTotals.merge(name, amount, Double::sum);
+        pendingEvents.add(() -> policy.onCounterReply(now, name, CallOutcome.OK, 1, total));
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        timers.add(now + delay);
+    public void scheduleTimer(double delayMs, long token) {
+        timers.add(now + delayMs);
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {}
+    public void cancelAttempt(long requestId, int attempt) {}
 
     @Override
-    public void reject(long id, double retryAfter) {}
+    public void reject(long requestId, double retryAfterMs) {}
 
     @Override
-    public void fail(long id) {}
+    public void fail(long requestId) {}
 
     @Override
-    public void checkHealth(String to) {}
+    public void checkHealth(String endpoint) {}
 
     @Override
     public void subscribeToEndpoints() {}
--- a/src/main/java/quotagateway/startup/Readiness.java
+++ b/src/main/java/quotagateway/startup/Readiness.java
@@ -4,49 +4,61 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * When an edge node that starts has waited long enough: for its list, for connections to app servers and to
- * the counter. Nothing of it has to come. Restarted nodes are to be ready within 10 s, on short days within
- * 6 s, also when all start together and all else is silent, so what was spent before comes off the wait.
+ * Decides when a gateway that starts has waited long enough for its endpoint list, for connections to endpoints and for
+ * the shared counter. None of them has to come: restarted gateways have to be ready within 10 s, on short days within
+ * 6 s, even if all of them start together and everything else is silent. So the time that the start took before comes
+ * off the wait.
  *
  * <table><caption>Longest start (ms) behind the JVM's own</caption>
- * <tr><th>part</th><th>at the most</th></tr>
- * <tr><td>warm-up</td><td>Warmup.MOST_TIME</td><td>2500</td></tr>
- * <tr><td>waits, with a list known from before</td><td>WITHIN</td><td>2000</td></tr>
- * <tr><td>waits, without</td><td>LIST_WITHOUT, or BY less the parts before</td><td>4000</td></tr>
- * <tr><td>all, while the parts before stay under BY - LIST_WITHIN</td><td>BY</td><td>5000</td></tr></table>
+ * <tr><th>phase</th><th>bound</th><th>ms</th></tr>
+ * <tr><td>warm-up</td><td>JitWarmup.MOST_TIME</td><td>2500</td></tr>
+ * <tr><td>waits, with a cached list</td><td>MAX_WAIT_WITH_LIST_MS</td><td>2000</td></tr>
+ * <tr><td>waits, without</td><td>LIST_WITHOUT, or READY_BY_MS less the phases before</td><td>4000</td></tr>
+ * <tr><td>all, while the phases before stay under READY_BY_MS - CACHED_LIST_AFTER_MS</td><td>READY_BY_MS</td>
+ * <td>5000</td></tr></table>
  */
 public final class Readiness {
     /**
-     * A list known from before serves after this (ms), until discovery's comes: seconds later after a mass
-     * kill. Until then discovery is waited for, and one quiet call to it: what it has counts as told.
+     * After this time (ms) a cached list serves until discovery's own list comes; after a mass kill that may be seconds
+     * later. Until then discovery is waited for, and one unanswered call to it: a node counts as informed of what
+     * discovery has.
      */
-    static final double LIST_WITHIN = 800;
-    /** Connections that are not up by then (ms) are made when they are asked for. */
-    static final double WITHIN = 2000;
-    /** Without any list there is nothing to serve by: waited for somewhat longer (ms). */
+    private static final double CACHED_LIST_AFTER_MS = 800;
+    /** Connections that are not up by then are made when a request needs them. */
+    private static final double MAX_WAIT_WITH_LIST_MS = 2000;
+    /** Without any list there is nothing to serve by, so it is waited for longer (ms). */
     public static final double LIST_WITHOUT = 4000;
-    /** Ready by then (ms), counted from the first line of the program, where the processor allows it. */
-    static final double BY = 5000;
+    /** Ready by then, counted from the start of the program, as far as the processor allows it. */
+    private static final double READY_BY_MS = 5000;
 
     private Readiness() {}
 
-    /** Done once all three are, or have been waited for; spent are the ms of the start before. */
+    /**
+     * Returns a future that completes once all three parts are ready or have been waited for.
+     *
+     * @param clock of the node
+     * @param elapsedMs what the start has taken before
+     * @param hasCachedList whether there is an endpoint list of an earlier process
+     * @param discovery completes with the first list of discovery's own
+     * @param endpoints completes with the first connections to endpoints
+     * @param counter completes with the connections to the counter
+     */
     public static CompletableFuture<Void> of(
             EventLoopContext clock,
-            double spent,
-            boolean known,
+            double elapsedMs,
+            boolean hasCachedList,
             CompletableFuture<Void> discovery,
-            CompletableFuture<Void> servers,
+            CompletableFuture<Void> endpoints,
             CompletableFuture<Void> counter) {
         CompletableFuture<Void> list = new CompletableFuture<>();
         discovery.thenRun(() -> list.complete(null));
-        if (known) {
-            clock.schedule(LIST_WITHIN, () -> list.complete(null));
+        if (hasCachedList) {
+            clock.schedule(CACHED_LIST_AFTER_MS, () -> list.complete(null));
         }
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        CompletableFuture.allOf(list, servers, counter).thenRun(() -> ready.complete(null));
-        double most = Math.min(known ? WITHIN : LIST_WITHOUT, BY - spent);
-        clock.schedule(Math.max(LIST_WITHIN, most), () -> ready.complete(null));
+        CompletableFuture.allOf(list, endpoints, counter).thenRun(() -> ready.complete(null));
+        double maxWaitMs = Math.min(hasCachedList ? MAX_WAIT_WITH_LIST_MS : LIST_WITHOUT, READY_BY_MS - elapsedMs);
+        clock.schedule(Math.max(CACHED_LIST_AFTER_MS, maxWaitMs), () -> ready.complete(null));
         return ready;
     }
 }
--- a/src/main/java/quotagateway/startup/StartupRecording.java
+++ b/src/main/java/quotagateway/startup/StartupRecording.java
@@ -13,79 +13,91 @@
 import quotagateway.admin.AdminServer;
 
 /**
- * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can write the
- * archive of classes that such a start loads. Nothing of it is kept but that archive.
+ * Stand-ins on loopback for one start and stop of a gateway at build time, so that the JVM can write an archive of the
+ * classes that a start loads. Nothing else is kept of such a run.
  */
 public final class StartupRecording implements AutoCloseable {
+    private static final int BACKLOG = 50;
+    private static final int READ_BUFFER_BYTES = 1024;
+    private static final String ENDPOINT = "s";
 
-    private final ServerSocket peers = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Path file = Files.createTempFile("startup-recording", ".json");
+    private final ServerSocket peers = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final Path configFile = Files.createTempFile("startup-recording", ".json");
 
+    /** Starts the stand-ins; throws {@link IOException} where no socket or file can be had. */
     public StartupRecording() throws IOException {
         String list = endpointList(peers.getLocalPort());
-        Files.writeString(file, configuration(peers.getLocalPort(), list));
-        Thread answering = new Thread(() -> answer(peers, list), "stand-ins");
-        answering.setDaemon(true);
-        answering.start();
+        Files.writeString(configFile, configuration(peers.getLocalPort(), list));
+        startDaemon(() -> acceptPeers(discoveryResponse(list)));
     }
 
-    /** As an edge node finds it. */
+    /** The environment for the gateway to start with. */
     public Map<String, String> environment() {
-        return Map.of("EDGE_CONFIG", file.toString());
+        return Map.of("EDGE_CONFIG", configFile.toString());
     }
 
-    /** One client that asks, and is answered. */
-    public void ask(InetSocketAddress at, InetSocketAddress admin) throws IOException {
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+    /** Sends one command as a client, and each call of the admin endpoint. */
+    public void exercise(InetSocketAddress clientAddress, InetSocketAddress adminAddress) throws IOException {
+        try (Socket client = new Socket(clientAddress.getAddress(), clientAddress.getPort())) {
             client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().read();
         }
-        call(admin, "GET " + AdminServer.HEALTH);
-        call(admin, "GET " + AdminServer.STATS);
-        call(admin, "POST " + AdminServer.UNCORDON + "s");
-        Files.delete(file);
+        callAdmin(adminAddress, "GET " + AdminServer.HEALTH_PATH);
+        callAdmin(adminAddress, "GET " + AdminServer.METRICS_PATH);
+        callAdmin(adminAddress, "POST " + AdminServer.UNCORDON_PATH + ENDPOINT);
+        Files.delete(configFile); // here, as the process exits before anything is closed
     }
 
-    private static void call(InetSocketAddress at, String call) throws IOException {
-        try (Socket operator = new Socket(at.getAddress(), at.getPort())) {
+    @Override
+    public void close() throws IOException {
+        peers.close();
+    }
+
+    private static void callAdmin(InetSocketAddress address, String call) throws IOException {
+        try (Socket operator = new Socket(address.getAddress(), address.getPort())) {
             operator.getOutputStream()
                     .write((call + " HTTP/1.1\r\nHost: edge\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             operator.getInputStream().readAllBytes();
         }
     }
 
-    @Override
-    public void close() throws IOException {
-        peers.close();
-    }
-
-    /** What speaks HTTP is discovery; the others are let in and owed nothing. */
-    private static void answer(ServerSocket peers, String list) {
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
+    /** Discovery, the counter and endpoints share one port: what speaks HTTP is a call to discovery. */
+    private void acceptPeers(byte[] discoveryResponse) {
         try {
             while (true) {
                 Socket peer = peers.accept();
-                Thread reading = new Thread(() -> {
-                    try (peer) {
-                        InputStream in = peer.getInputStream();
-                        byte[] some = new byte[1024];
-                        for (int n = in.read(some); n >= 0; n = in.read(some)) {
-                            if (new String(some, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
-                                peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-                            }
-                        }
-                    } catch (IOException e) {
-                        // the recording has ended
-                    }
-                });
-                reading.setDaemon(true);
-                reading.start();
+                startDaemon(() -> answerDiscoveryCalls(peer, discoveryResponse));
             }
         } catch (IOException e) {
-            // the recording has ended
+            // closed: the recording has ended
         }
     }
 
+    private static void answerDiscoveryCalls(Socket peer, byte[] response) {
+        try (peer) {
+            InputStream input = peer.getInputStream();
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
+            for (int length = input.read(buffer); length >= 0; length = input.read(buffer)) {
+                if (new String(buffer, 0, length, StandardCharsets.US_ASCII).startsWith("GET")) {
+                    peer.getOutputStream().write(response);
+                }
+            }
+        } catch (IOException e) {
+            // the gateway has closed the connection
+        }
+    }
+
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "stand-in");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private static byte[] discoveryResponse(String list) {
+        return ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                .getBytes(StandardCharsets.US_ASCII);
+    }
+
     private static String configuration(int port, String list) {
         return String.format("""
         {"name":"startup-recording","listen":"127.0.0.1:0","control":"127.0.0.1:0","discovery":"127.0.0.1:%1$d",
@@ -103,8 +115,8 @@
 
     private static String endpointList(int port) {
         return String.format("""
-        {"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:%d","site":"a","class":"m","block":1,\
+        {"seq":1,"whole":true,"hosts":[{"host":"%s","dial":"127.0.0.1:%d","site":"a","class":"m","block":1,\
         "health":"active","share":1.0,"born_ms":0}]}
-        """, port);
+        """, ENDPOINT, port);
     }
 }
--- a/src/main/java/quotagateway/startup/StartupTimeline.java
+++ b/src/main/java/quotagateway/startup/StartupTimeline.java
@@ -5,36 +5,38 @@
 import java.nio.file.Path;
 
 /**
- * What the parts of a start take, told in the log of every start: an edge node that starts again is down for
- * so long, and the others carry its load. Wall time and CPU (ms) since the process began, by the system's own
- * count in hundredths of a second; on part of a core the two differ by what the node was held back.
+ * Logs how long the phases of a start took, in one line of every start: while a gateway starts it is down, and the
+ * others carry its load. Each phase has wall time and CPU time (ms) since the process began, as the system counts them
+ * in hundredths of a second; with a part of a core the two differ by what the process was held back.
  */
 public final class StartupTimeline {
-    /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
-    private static final int USER = 11;
+    /** Fields of {@code /proc/self/stat}, counted from behind the process name in parentheses. */
+    private static final int USER_TIME_FIELD = 11;
 
-    private static final int SYSTEM = 12;
-    private static final int STARTED = 19;
-    private static final int TICK = 10;
-    private static final long BEGUN = System.nanoTime();
-    private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
+    private static final int SYSTEM_TIME_FIELD = 12;
+    private static final int START_TIME_FIELD = 19;
+    /** Length of the system's clock tick (ms). */
+    private static final int TICK_MS = 10;
+
+    private static final long FIRST_USED_NANOS = System.nanoTime();
+    private static final StringBuilder LINE = new StringBuilder("start, wall/CPU ms:");
 
     private StartupTimeline() {}
 
-    /** How long (ms) the program has run since its first line here. */
+    /** How long (ms) the program has run since its first use of this class. */
     public static double elapsedMs() {
-        return (System.nanoTime() - BEGUN) / 1e6;
+        return (System.nanoTime() - FIRST_USED_NANOS) / 1e6;
     }
 
-    /** A part has ended. */
-    public static synchronized void phaseEnded(String part) {
-        TEXT.append(' ').append(part).append(' ').append(times()).append(',');
+    /** Notes the end of a phase. */
+    public static synchronized void phaseEnded(String phase) {
+        LINE.append(' ').append(phase).append(' ').append(times()).append(',');
     }
 
-    /** The whole start has. */
-    public static synchronized void log(String part) {
-        System.err.println(TEXT.append(' ').append(part).append(' ').append(times()));
-        TEXT.setLength(0);
+    /** Notes the end of the last phase and logs the line. */
+    public static synchronized void log(String phase) {
+        System.err.println(LINE.append(' ').append(phase).append(' ').append(times()));
+        LINE.setLength(0);
     }
 
     private static String times() {
@@ -42,11 +44,12 @@
             String stat = Files.readString(Path.of("/proc/self/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
             String uptime = Files.readString(Path.of("/proc/uptime"));
-            double up = 1000 * Double.parseDouble(uptime.substring(0, uptime.indexOf(' ')));
-            long cpu = TICK * (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM]));
-            return Math.round(up - TICK * Long.parseLong(fields[STARTED])) + "/" + cpu;
-        } catch (IOException | RuntimeException e) {
-            return "not told"; // not this system's /proc
+            double uptimeMs = 1000 * Double.parseDouble(uptime.substring(0, uptime.indexOf(' ')));
+            long cpuMs =
+                    TICK_MS * (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]));
+            return Math.round(uptimeMs - TICK_MS * Long.parseLong(fields[START_TIME_FIELD])) + "/" + cpuMs;
+        } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
+            return "unknown"; // another system's /proc
         }
     }
 }
