--- a/src/main/java/quotagateway/log/NodeEvent.java
+++ b/src/main/java/quotagateway/log/NodeEvent.java
@@ -11,92 +11,111 @@
 import quotagateway.policy.api.FailureReason;
 
 /**
- * What the event log tells, one line an event, as {@code name key=value ...}. Times and ages are
- * milliseconds. The lines are put together by hand: a record's own toString links at run time, which a start
- * pays for.
+ * What the event log records, one line an event in the form {@code name key=value ...}; requests go by their client's
+ * id. The lines are put together by hand: a record's own {@code toString} is linked at run time, which every start
+ * would pay for.
  */
 public sealed interface NodeEvent {
     /** The line without its time. */
     String text();
 
-    /** The request that this is about, by the client's id; null where it is about none. */
+    /** The client's id of the request that this is about; null where it is about none. */
     default String request() {
         return null;
     }
 
-    /** The node has entered a state; bound tells how long until all answers are due, 0 for no such time. */
-    record StateEntered(NodeState to, double bound) implements NodeEvent {
+    /**
+     * The gateway has entered a state.
+     *
+     * @param answersDueInMs how long until all responses are due, 0 where there is no such time
+     */
+    record StateEntered(NodeState state, double answersDueInMs) implements NodeEvent {
         @Override
         public String text() {
-            return "state to=" + to + (bound > 0 ? " answers_due_in=" + Math.round(bound) : "");
+            return "state to=" + state + (answersDueInMs > 0 ? " answers_due_in_ms=" + Math.round(answersDueInMs) : "");
         }
     }
 
-    /** A request was taken on a client's connection of this age, which had sent so many commands before. */
-    record RequestAccepted(String request, String type, long connection, double age, int commands, double patience)
+    /**
+     * A request was accepted.
+     *
+     * @param connection number of the client's connection
+     * @param connectionAgeMs how long that had been open
+     * @param commandsBefore commands that came on it before
+     * @param timeoutMs how long the policy has for the request
+     */
+    record RequestAccepted(
+            String request,
+            String requestClass,
+            long connection,
+            double connectionAgeMs,
+            int commandsBefore,
+            double timeoutMs)
             implements NodeEvent {
         @Override
         public String text() {
-            return "taken request=" + request + " class=" + type + " connection=" + connection + " age="
-                    + Math.round(age) + " commands_before=" + commands + " wait=" + Math.round(patience);
+            return "request_accepted request=" + request + " class=" + requestClass + " connection=" + connection
+                    + " connection_age_ms=" + Math.round(connectionAgeMs) + " commands_before=" + commandsBefore
+                    + " timeout_ms=" + Math.round(timeoutMs);
         }
     }
 
-    /** An attempt goes out; after is the outcome of the one before it, null for the first. */
-    record AttemptSent(String request, int attempt, String server, CallOutcome after) implements NodeEvent {
+    /** An attempt goes out; the previous outcome is that of the attempt before it, null for the first. */
+    record AttemptSent(String request, int attempt, String endpoint, CallOutcome previousOutcome) implements NodeEvent {
         @Override
         public String text() {
-            return "sent request=" + request + " attempt=" + attempt + " server=" + server
-                    + (after == null ? "" : " retry_after=" + after);
+            return "attempt_sent request=" + request + " attempt=" + attempt + " endpoint=" + endpoint
+                    + (previousOutcome == null ? "" : " previous_outcome=" + previousOutcome);
         }
     }
 
-    /** An attempt has ended, so long after it began. */
-    record AttemptEnded(String request, int attempt, String server, CallOutcome outcome, double took)
+    /** An attempt has ended, so long after it was sent. */
+    record AttemptEnded(String request, int attempt, String endpoint, CallOutcome outcome, double tookMs)
             implements NodeEvent {
         @Override
         public String text() {
-            return "ended request=" + request + " attempt=" + attempt + " server=" + server + " outcome=" + outcome
-                    + " took=" + Math.round(took);
+            return "attempt_ended request=" + request + " attempt=" + attempt + " endpoint=" + endpoint + " outcome="
+                    + outcome + " took_ms=" + Math.round(tookMs);
         }
     }
 
-    /** A request has its final answer; reason tells why it was not served, and is null where it was. */
+    /** A request has its final response; the reason says why it was not served, and is null where it was. */
     record RequestCompleted(String request, RequestOutcome outcome, FailureReason reason) implements NodeEvent {
         @Override
         public String text() {
-            return "answered request=" + request + " outcome=" + outcome + (reason == null ? "" : " reason=" + reason);
+            return "request_completed request=" + request + " outcome=" + outcome
+                    + (reason == null ? "" : " reason=" + reason);
         }
     }
 
-    /** The client of a request has gone. */
+    /** The client of a request has disconnected. */
     record RequestAbandoned(String request) implements NodeEvent {
         @Override
         public String text() {
-            return "abandoned request=" + request;
+            return "request_abandoned request=" + request;
         }
     }
 
     /** A client's connection has ended, with so many commands unanswered. */
-    record ClientConnectionClosed(long connection, CloseReason reason, double age, int commands, int unanswered)
+    record ClientConnectionClosed(long connection, CloseReason reason, double ageMs, int commands, int unanswered)
             implements NodeEvent {
         @Override
         public String text() {
-            return "client_closed connection=" + connection + " reason=" + reason + " age=" + Math.round(age)
-                    + " commands=" + commands + " unanswered=" + unanswered;
+            return "client_connection_closed connection=" + connection + " reason=" + reason + " age_ms="
+                    + Math.round(ageMs) + " commands=" + commands + " unanswered=" + unanswered;
         }
     }
 
-    /** A connection to a place server has ended. */
-    record EndpointConnectionClosed(String server, CloseReason reason) implements NodeEvent {
+    /** A connection to an endpoint has ended. */
+    record EndpointConnectionClosed(String endpoint, CloseReason reason) implements NodeEvent {
         @Override
         public String text() {
-            return "server_closed server=" + server + " reason=" + reason;
+            return "endpoint_connection_closed endpoint=" + endpoint + " reason=" + reason;
         }
     }
 
-    /** What became of a call to discovery, and the version of the list that it asked from or was told. */
-    record DiscoveryCall(InetSocketAddress at, Step step, long version) implements NodeEvent {
+    /** A step of a call to discovery, and the version of the list that it asked from or was told; -1 for none. */
+    record DiscoveryCall(InetSocketAddress address, Step step, long version) implements NodeEvent {
         /** The steps of a call. */
         public enum Step {
             MOVED,
@@ -112,27 +131,28 @@
 
         @Override
         public String text() {
-            return "discovery step=" + step + " at=" + at.getHostString() + ":" + at.getPort() + " version=" + version;
+            return "discovery_call step=" + step + " address=" + address.getHostString() + ":" + address.getPort()
+                    + " version=" + version;
         }
     }
 
-    /** A place server wants nothing new, or has gone, as discovery tells. */
-    record EndpointLeaving(String server, EndpointState state) implements NodeEvent {
+    /** An endpoint drains or was removed, by its list. */
+    record EndpointLeaving(String endpoint, EndpointState state) implements NodeEvent {
         @Override
         public String text() {
-            return "server_leaves server=" + server + " state=" + state;
+            return "endpoint_leaving endpoint=" + endpoint + " state=" + state;
         }
     }
 
-    /** An attempt was not written, though the module had decided on it. */
+    /** An attempt that the policy had decided on was not written. */
     record AttemptDenied(String request, int attempt, SendDenial denial) implements NodeEvent {
         @Override
         public String text() {
-            return "denied request=" + request + " attempt=" + attempt + " reason=" + denial;
+            return "attempt_denied request=" + request + " attempt=" + attempt + " reason=" + denial;
         }
     }
 
-    /** What should hold at any time did not; request is null where it is about none. */
+    /** An invariant of this program was violated; the request is null where it is about none. */
     record InvariantViolated(Invariant invariant, String request) implements NodeEvent {
         @Override
         public String text() {
@@ -141,10 +161,10 @@
     }
 
     /** The event loop ran a timer so long after it was due. */
-    record EventLoopLate(double by) implements NodeEvent {
+    record EventLoopLate(double lateMs) implements NodeEvent {
         @Override
         public String text() {
-            return "loop_late by=" + Math.round(by);
+            return "event_loop_late by_ms=" + Math.round(lateMs);
         }
     }
 }
