--- a/src/main/java/quotagateway/client/ClientCommand.java
+++ b/src/main/java/quotagateway/client/ClientCommand.java
@@ -12,7 +12,21 @@
 import quotagateway.policy.api.RequestClass;
 import quotagateway.resp.RespCodec;
 
-/** A client's call as read: what the module is told of it, and its list of names and values round d. */
+/**
+ * A request command of a client, parsed: {@code CALL.GET|CALL.POST customer id attributes [body]}.
+ *
+ * @param customer whose quota the request is charged to
+ * @param id the client's name for the request; an endpoint recognizes a repeated request by it
+ * @param requestClass name of the request's class, which the settings need not know
+ * @param plan name of the customer's quota plan
+ * @param clientTimeoutMs how long the client waits for the response
+ * @param units what the request takes off the quota
+ * @param gatewayCount how many gateways share the customer's quota
+ * @param firstGateway rank of the first of these gateways
+ * @param retry whether the client has sent the request before
+ * @param textBeforeTimeout the attribute list up to the value of the timeout, as it goes on to an endpoint
+ * @param textAfterTimeout the attribute list behind the value of the timeout
+ */
 public record ClientCommand(
         String customer,
         String id,
@@ -23,121 +37,112 @@
         int gatewayCount,
         int firstGateway,
         boolean retry,
-        String beforeWait,
-        String afterWait) {
+        String textBeforeTimeout,
+        String textAfterTimeout) {
 
-    private static final int CUSTOMER = 1;
-    private static final int ID = 2;
-    private static final int LIST = 3;
-    private static final int BODY = 4;
+    /** Which argument may be a large value, counted from the verb, which is 0. */
+    static final int BODY_INDEX = 4;
 
-    /** 16 hex digits, below 2^33. */
-    private static final Pattern KEY = Pattern.compile("0{7}[01][0-9a-f]{8}");
-    /** Java's own reading takes NaN, 1e30 and 0x1p3 too: units of any of them would go off a quota. */
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
+    private static final int CUSTOMER_INDEX = 1;
+    private static final int ID_INDEX = 2;
+    private static final int ATTRIBUTES_INDEX = 3;
 
-    private static final Pattern WAIT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
+    private static final String READ_VERB = "CALL.GET";
+    private static final String WRITE_VERB = "CALL.POST";
 
-    /** Throws IllegalArgumentException with what is wrong; sets and units are held against the settings. */
+    /** A customer is 16 hex digits, below 2^33. */
+    private static final Pattern CUSTOMER_FORM = Pattern.compile("0{7}[01][0-9a-f]{8}");
+
+    private static final int MAX_ID_LENGTH = 64;
+    /** The least timeout that an endpoint is given, as the attribute is in whole milliseconds. */
+    private static final long MIN_TIMEOUT_MS = 1;
+
+    /** Whether a verb is that of a request command. */
+    static boolean isRequestVerb(String verb) {
+        return READ_VERB.equals(verb) || WRITE_VERB.equals(verb);
+    }
+
+    /**
+     * Parses a command, and checks units, gateways and the class against the settings.
+     *
+     * @throws MalformedCommandException where it is no request that may be taken
+     */
     public static ClientCommand parse(ArrayRedisMessage command, PolicySettings settings) {
-        List<RedisMessage> parts = command.children();
-        if (parts.size() <= LIST || parts.size() > BODY + 1) {
-            throw new IllegalArgumentException("wrong number of arguments");
-        }
-        for (RedisMessage part : parts) {
-            if (!(part instanceof FullBulkStringRedisMessage bulk) || bulk.isNull()) {
-                throw new IllegalArgumentException("bulk strings expected");
-            }
+        List<RedisMessage> arguments = command.children();
+        checkArguments(arguments);
+        String customer = RespCodec.text(arguments.get(CUSTOMER_INDEX));
+        String id = RespCodec.text(arguments.get(ID_INDEX));
+        if (!CUSTOMER_FORM.matcher(customer).matches() || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
+            throw new MalformedCommandException("customer or id is malformed");
         }
-        String customer = RespCodec.text(parts.get(CUSTOMER));
-        String id = RespCodec.text(parts.get(ID));
-        if (!KEY.matcher(customer).matches() || id.isEmpty() || id.length() > 64) {
-            throw new IllegalArgumentException("customer or id is malformed");
+        CommandAttributes attributes = CommandAttributes.parse(RespCodec.text(arguments.get(ATTRIBUTES_INDEX)));
+        checkRanges(attributes, settings);
+        checkRequestClass(RespCodec.text(arguments.get(0)), attributes, settings);
+        return new ClientCommand(
+                customer,
+                id,
+                attributes.requestClass(),
+                attributes.plan(),
+                attributes.clientTimeoutMs(),
+                attributes.units(),
+                attributes.gatewayCount(),
+                attributes.firstGateway(),
+                attributes.isRetry(),
+                attributes.textBeforeTimeout(),
+                attributes.textAfterTimeout());
+    }
+
+    private static void checkArguments(List<RedisMessage> arguments) {
+        if (arguments.size() <= ATTRIBUTES_INDEX || arguments.size() > BODY_INDEX + 1) {
+            throw new MalformedCommandException("wrong number of arguments");
         }
-        String list = RespCodec.text(parts.get(LIST));
-        String type = null;
-        String plan = null;
-        double wait = Double.NaN;
-        int units = 1;
-        int spread = 1;
-        int first = 0;
-        int waitFrom = -1;
-        int waitTo = -1;
-        boolean again = false;
-        boolean keyed = false;
-        for (int from = 0; from < list.length(); ) {
-            int comma = list.indexOf(',', from);
-            int to = comma < 0 ? list.length() : comma;
-            int eq = list.indexOf('=', from);
-            if (eq < 0 || eq >= to) {
-                throw new IllegalArgumentException("name=value expected");
+        for (RedisMessage argument : arguments) {
+            if (!RespCodec.isValue(argument)) {
+                throw new MalformedCommandException("bulk strings expected");
             }
-            String value = list.substring(eq + 1, to);
-            switch (list.substring(from, eq)) {
-                case "c" -> type = value;
-                case "t" -> plan = value;
-                case "d" -> {
-                    wait = Double.parseDouble(matching(WAIT, value));
-                    waitFrom = eq + 1;
-                    waitTo = to;
-                }
-                case "units" -> units = Integer.parseInt(matching(WHOLE, value));
-                case "spread" -> spread = Integer.parseInt(matching(WHOLE, value));
-                case "first" -> first = Integer.parseInt(matching(WHOLE, value));
-                case "k" -> keyed = !value.isEmpty();
-                case "r" -> again = value.equals("1");
-                default -> {} // passed on as it is
-            }
-            from = to + 1;
-        }
-        if (type == null || plan == null || waitFrom < 0) {
-            throw new IllegalArgumentException("c, t and d are needed");
         }
-        if (units < 1
-                || units > settings.maxUnits()
-                || spread < 1
-                || spread > settings.nodeCount()
-                || first >= settings.nodeCount()) {
-            throw new IllegalArgumentException("units or set out of range");
+    }
+
+    private static void checkRanges(CommandAttributes attributes, PolicySettings settings) {
+        boolean unitsInRange = attributes.units() >= 1 && attributes.units() <= settings.maxUnits();
+        boolean gatewaysInRange = attributes.gatewayCount() >= 1
+                && attributes.gatewayCount() <= settings.nodeCount()
+                && attributes.firstGateway() < settings.nodeCount();
+        if (!unitsInRange || !gatewaysInRange) {
+            throw new MalformedCommandException("units or set out of range");
         }
-        boolean get = RespCodec.text(parts.get(0)).endsWith("GET");
-        for (RequestClass c : settings.requestClasses()) {
-            if (c.name().equals(type)
-                    && (get != (c.idempotency() == Idempotency.IDEMPOTENT)
-                            || (c.idempotency() == Idempotency.IDEMPOTENCY_KEY && !keyed))) {
-                throw new IllegalArgumentException("not the command of this class, or no k");
+    }
+
+    /** The verb has to fit the class, where the settings know that; a class with keys needs one. */
+    private static void checkRequestClass(String verb, CommandAttributes attributes, PolicySettings settings) {
+        boolean readVerb = READ_VERB.equals(verb);
+        for (RequestClass candidate : settings.requestClasses()) {
+            if (candidate.name().equals(attributes.requestClass())) {
+                boolean idempotent = candidate.idempotency() == Idempotency.IDEMPOTENT;
+                boolean keyNeeded = candidate.idempotency() == Idempotency.IDEMPOTENCY_KEY;
+                if (readVerb != idempotent || (keyNeeded && !attributes.hasIdempotencyKey())) {
+                    throw new MalformedCommandException("not the command of this class, or no k");
+                }
             }
         }
-        return new ClientCommand(
-                customer,
-                id,
-                type,
-                plan,
-                wait,
-                units,
-                spread,
-                first,
-                again,
-                list.substring(0, waitFrom),
-                list.substring(waitTo));
     }
 
-    private static String matching(Pattern form, String value) {
-        if (!form.matcher(value).matches()) {
-            throw new IllegalArgumentException("a number is malformed");
+    /** The command for an endpoint: as it came, except that the timeout is what is left of the client's time (ms). */
+    public ArrayRedisMessage encodeForEndpoint(
+            ArrayRedisMessage command, double remainingMs, ByteBufAllocator allocator) {
+        List<RedisMessage> arguments = command.children();
+        List<RedisMessage> encoded = new ArrayList<>(arguments.size());
+        for (int i = 0; i < arguments.size(); i++) {
+            encoded.add(
+                    i == ATTRIBUTES_INDEX
+                            ? encodeAttributes(remainingMs, allocator)
+                            : ((FullBulkStringRedisMessage) arguments.get(i)).retainedDuplicate());
         }
-        return value;
+        return new ArrayRedisMessage(encoded);
     }
 
-    /** The command as it goes on: unchanged, but d tells what is left. */
-    public ArrayRedisMessage encodeForEndpoint(ArrayRedisMessage command, double left, ByteBufAllocator alloc) {
-        List<RedisMessage> parts = new ArrayList<>(command.children().size());
-        for (int i = 0; i < command.children().size(); i++) {
-            parts.add(
-                    i == LIST
-                            ? RespCodec.bulk(alloc, beforeWait + Math.max(1, (long) left) + afterWait)
-                            : ((FullBulkStringRedisMessage) command.children().get(i)).retainedDuplicate());
-        }
-        return new ArrayRedisMessage(parts);
+    private FullBulkStringRedisMessage encodeAttributes(double remainingMs, ByteBufAllocator allocator) {
+        long timeoutMs = Math.max(MIN_TIMEOUT_MS, (long) remainingMs);
+        return RespCodec.bulk(allocator, textBeforeTimeout + timeoutMs + textAfterTimeout);
     }
 }
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -25,6 +25,7 @@
 import quotagateway.client.ClientCommand;
 import quotagateway.client.ClientListener;
 import quotagateway.client.ClientRequestHandler;
+import quotagateway.client.MalformedCommandException;
 import quotagateway.client.ResponseSlot;
 import quotagateway.config.GatewayConfig;
 import quotagateway.counter.CounterClient;
@@ -504,7 +505,7 @@
         ClientCommand call;
         try {
             call = ClientCommand.parse(command, config.settings());
-        } catch (IllegalArgumentException e) {
+        } catch (MalformedCommandException e) {
             return e.getMessage();
         }
         if (!(call.clientTimeoutMs() > 0 && call.clientTimeoutMs() <= LONGEST)) {
