--- a/src/main/java/quotagateway/client/ReadAhead.java
+++ b/src/main/java/quotagateway/client/ReadAhead.java
@@ -5,161 +5,133 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
-import java.util.LinkedHashSet;
-import java.util.Set;
-import quotagateway.transport.EventLoopContext;
 import quotagateway.transport.Transport;
 
 /**
- * First on a client's connection: it is read on while its commands are held back, within a bound, as the
- * connection's end is seen only behind all that came before it. What has come goes on after the round of the
- * loop in which it came: an end that came with it is known by then, and nothing of it is taken any more.
+ * First handler on a client's connection: buffers what is read while the connection's commands are held back. A
+ * connection's end is seen only behind all bytes that came before it, so it is read on, up to a bound of its own and
+ * one of all connections.
+ *
+ * <p>What was read is passed on in a later round of the event loop than the one it was read in: by then an end that
+ * came right behind it is known, and nothing of it is taken any more.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
-    /** What all held connections keep together (bytes): a quarter of what requests may hold. */
-    private static final long MOST_OF_ALL = 2L << 20;
-    /** Those that the bound of all has stopped look this often (ms) whether there is room. */
-    private static final double LOOK_AGAIN = 50;
-
-    /** What the connections of one listener have in common. */
-    static final class Shared {
-        private final EventLoopContext loop;
-        private final Set<ReadAhead> stopped = new LinkedHashSet<>();
-        private long kept;
-        private boolean waiting;
-
-        Shared(EventLoopContext loop) {
-            this.loop = loop;
-        }
-
-        private void stopped(ReadAhead one) {
-            stopped.add(one);
-            if (!waiting) {
-                waiting = true;
-                loop.schedule(LOOK_AGAIN, this::again);
-            }
-        }
-
-        private void again() {
-            waiting = false;
-            ReadAhead[] all = stopped.toArray(new ReadAhead[0]);
-            stopped.clear();
-            for (ReadAhead each : all) {
-                each.read();
-            }
-        }
-    }
-
-    private final Shared shared;
-    private final int most = Transport.ahead();
-    private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
-    private ChannelHandlerContext ctx;
-    private int bytes;
-    private boolean held;
-    private boolean shut;
-    private boolean due;
-
-    ReadAhead(Shared shared) {
-        this.shared = shared;
+    private final ReadAheadBudget budget;
+    private final int maxBytes = Transport.ahead();
+    private final ArrayDeque<ByteBuf> buffers = new ArrayDeque<>();
+    private ChannelHandlerContext context;
+    private int bufferedBytes;
+    private boolean heldBack;
+    private boolean shutDown;
+    private boolean passScheduled;
+
+    ReadAhead(ReadAheadBudget budget) {
+        this.budget = budget;
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext context) {
-        ctx = context;
+    public void handlerAdded(ChannelHandlerContext ctx) {
+        context = ctx;
     }
 
-    boolean held() {
-        return held;
+    boolean isHeldBack() {
+        return heldBack;
     }
 
-    /** Whether something has come that has not gone on. */
+    /** Whether all that was read has been passed on. */
     boolean isEmpty() {
-        return kept.isEmpty();
+        return buffers.isEmpty();
+    }
+
+    /** Passes nothing on until {@link #resume()}. */
+    void holdBack() {
+        heldBack = true;
+        if (!shutDown) {
+            updateAutoRead();
+        }
     }
 
-    /** Holds back what comes, or lets it go on, soon. */
-    void hold(boolean on) {
-        held = on;
-        if (!shut) {
-            goOn();
-            read();
+    /** Passes on what was buffered, in a later round of the loop, and what is read from now on. */
+    void resume() {
+        heldBack = false;
+        if (!shutDown) {
+            schedulePass();
+            updateAutoRead();
         }
     }
 
-    /** From here on nothing is read, and what was kept is dropped. */
-    void shut() {
-        shut = true;
-        drop();
-        read();
+    /** Drops what is buffered, and reads nothing any more. */
+    void shutDown() {
+        shutDown = true;
+        buffers.forEach(ReferenceCountUtil::release);
+        buffers.clear();
+        addBuffered(-bufferedBytes);
+        updateAutoRead();
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object msg) {
-        if (shut) {
+    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        if (shutDown) {
             ReferenceCountUtil.release(msg);
             return;
         }
-        kept.add((ByteBuf) msg);
-        keep(((ByteBuf) msg).capacity()); // a byte of a slow client may stand in a large buffer
-        read();
+        ByteBuf buffer = (ByteBuf) msg;
+        buffers.add(buffer);
+        addBuffered(buffer.capacity()); // not its readable bytes: one byte of a slow client may hold a large buffer
+        updateAutoRead();
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
-        goOn();
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        schedulePass();
     }
 
-    private void goOn() {
-        if (!held && !due && !kept.isEmpty()) {
-            due = true;
-            ctx.executor().execute(this::pass);
+    private void schedulePass() {
+        if (!heldBack && !passScheduled && !buffers.isEmpty()) {
+            passScheduled = true;
+            context.executor().execute(this::pass);
         }
     }
 
     private void pass() {
-        due = false;
-        if (!ctx.channel().isActive()) {
-            return; // closed in this round, by either side; that is told behind this
+        passScheduled = false;
+        if (!context.channel().isActive()) {
+            return; // closed in the round before, by either side: channelInactive comes next
         }
-        boolean any = false;
-        while (!held && !kept.isEmpty()) {
-            ByteBuf part = kept.poll();
-            keep(-part.capacity());
-            any = true;
-            ctx.fireChannelRead(part);
+        boolean passed = false;
+        while (!heldBack && !buffers.isEmpty()) { // what is passed may lead to holdBack or shutDown
+            ByteBuf buffer = buffers.poll();
+            addBuffered(-buffer.capacity());
+            passed = true;
+            context.fireChannelRead(buffer);
         }
-        if (any) {
-            ctx.fireChannelReadComplete();
+        if (passed) {
+            context.fireChannelReadComplete();
         }
-        read();
+        updateAutoRead();
     }
 
-    private void keep(int more) {
-        bytes += more;
-        shared.kept += more;
+    private void addBuffered(int bytes) {
+        bufferedBytes += bytes;
+        budget.add(bytes);
     }
 
-    private void read() {
-        boolean room = bytes < most;
-        boolean roomOfAll = !held || shared.kept < MOST_OF_ALL;
-        boolean on = !shut && room && roomOfAll;
-        if (ctx.channel().config().isAutoRead() != on) {
-            ctx.channel().config().setAutoRead(on);
+    /** Reads on, or not, as the bounds allow; the budget calls it too, for those that it has stopped. */
+    void updateAutoRead() {
+        boolean belowOwnBound = bufferedBytes < maxBytes;
+        boolean belowSharedBound = !heldBack || budget.hasCapacity();
+        boolean autoRead = !shutDown && belowOwnBound && belowSharedBound;
+        if (context.channel().config().isAutoRead() != autoRead) {
+            context.channel().config().setAutoRead(autoRead);
         }
-        if (!shut && room && !roomOfAll) {
-            shared.stopped(this);
+        if (!shutDown && belowOwnBound && !belowSharedBound) {
+            budget.awaitCapacity(this);
         }
     }
 
-    private void drop() {
-        kept.forEach(ReferenceCountUtil::release);
-        kept.clear();
-        keep(-bytes);
-    }
-
     @Override
-    public void channelInactive(ChannelHandlerContext context) {
-        shut();
-        context.fireChannelInactive();
+    public void channelInactive(ChannelHandlerContext ctx) {
+        shutDown();
+        ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/quotagateway/client/ResponseSlot.java
+++ b/src/main/java/quotagateway/client/ResponseSlot.java
@@ -1,73 +1,112 @@
 package quotagateway.client;
 
 import io.netty.handler.codec.redis.RedisMessage;
+import io.netty.util.ReferenceCountUtil;
 import quotagateway.streaming.ResponseSink;
 import quotagateway.streaming.StreamedResponse;
 
-/** The place of one command's answer on its connection. */
+/**
+ * The place of one command's response among those of its connection. It is given one response, whole or as a stream,
+ * which is written once all responses before it are.
+ */
 public final class ResponseSlot implements ResponseSink {
-    private final ClientListener.ClientConnection connectionId;
-    RedisMessage answer;
-    StreamedResponse streamFrom;
+    private final ClientConnection connection;
     private final int commandsBefore;
-    public ClientRequest request;
+    private ClientRequest request;
+    private RedisMessage response;
+    private StreamedResponse stream;
 
-    ResponseSlot(ClientListener.ClientConnection connection) {
-        this.connectionId = connection;
-        commandsBefore = connection.commands++;
+    ResponseSlot(ClientConnection connection, int commandsBefore) {
+        this.connection = connection;
+        this.commandsBefore = commandsBefore;
     }
 
-    /** Gives the one answer; it is written once those before it are. */
+    /** Attaches the request that is to give the response: it hears of the connection's end until it is detached. */
+    public void attachRequest(ClientRequest owner) {
+        request = owner;
+    }
+
+    /** The request has its final response, or nobody waits for one. */
+    public void detachRequest() {
+        request = null;
+    }
+
+    /** Gives the response, in place of a stream of which nothing has been written. */
     @Override
     public void respond(RedisMessage message) {
-        answer = message;
-        streamFrom = null;
-        connectionId.drain();
+        response = message;
+        stream = null;
+        connection.writeResponses();
     }
 
-    /** The answer comes bit by bit, from its turn on. */
-    public void streamFrom(StreamedResponse value) {
-        streamFrom = value;
-        connectionId.drain();
+    /** Gives the response as a stream. */
+    public void respondWith(StreamedResponse value) {
+        stream = value;
+        connection.writeResponses();
     }
 
-    /** The rest of it does not come: an end of the connection is the only way to tell the client. */
     @Override
     public void abort() {
-        streamFrom = null;
-        connectionId.breakOff();
+        stream = null;
+        connection.abortStream();
     }
 
-    /** Its last bit is written. */
     @Override
     public void onStreamCompleted() {
-        connectionId.slots.remove(this);
-        streamFrom = null;
-        connectionId.drain();
+        stream = null;
+        connection.onStreamCompleted(this);
     }
 
-    /** Names the connection in the event log. */
+    /** The number of the connection in the event log. */
     public long connectionId() {
-        return connectionId.number;
+        return connection.id();
     }
 
-    /** How old (ms) the connection is. */
+    /** How long (ms) the connection has been open. */
     public double connectionAge() {
-        return connectionId.age();
+        return connection.ageMs();
     }
 
-    /** Whole commands that came on the connection before this one. */
+    /** How many whole commands came on the connection before this one. */
     public int commandsBefore() {
         return commandsBefore;
     }
 
-    /** No request waits here for its answer, nor does the rest of a value. */
-    boolean isNoRequest() {
-        return request == null && streamFrom == null;
+    /** Whether the client is known to have closed, also where no handler has heard of it yet in this round. */
+    public boolean isDisconnected() {
+        return !connection.isActive();
     }
 
-    /** The client has gone, also where that has not been told yet: a round may bring many ends. */
-    public boolean isDisconnected() {
-        return !connectionId.channel.isActive();
+    /** The whole response, or null while there is none. */
+    RedisMessage response() {
+        return response;
+    }
+
+    /** The response that comes as a stream, or null. */
+    StreamedResponse stream() {
+        return stream;
+    }
+
+    /** Whether a request, or the rest of a stream, is waited for. */
+    boolean isAwaitingResponse() {
+        return request != null || stream != null;
+    }
+
+    /** Tells the request, if there is one, that what came behind it cannot be read. */
+    void notifyMalformed() {
+        if (request != null) {
+            request.onConnectionMalformed();
+        }
+    }
+
+    /** Drops the response, and tells the request and the stream that nobody waits for them. */
+    void abandon() {
+        ReferenceCountUtil.release(response);
+        if (request != null) {
+            request.onClientDisconnected();
+        }
+        if (stream != null) {
+            stream.onClientDisconnected();
+        }
     }
 }
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -523,7 +523,7 @@
         double patience = Math.max(1, Math.min(wait, endsAt - now) - WAY_BACK);
         ActiveRequest r =
                 new ActiveRequest(this, ++lastId, slot, retained(command), call, body, now + patience, now + wait);
-        slot.request = r;
+        slot.attachRequest(r);
         bufferedBytes += r.bytes;
         openRequests++;
         requests.put(r.id, r);
@@ -632,7 +632,7 @@
             r.body.discard();
         }
         openRequests--;
-        r.slot.request = null;
+        r.slot.detachRequest();
         if (r.inFlight == 0) {
             r.timer.cancel(false);
         }
@@ -694,7 +694,7 @@
             openRequests++; // until the stream ends
             stream = new StreamedResponse(
                     this, from, r.slot, length, outcome -> onStreamEnded(r.parsed.requestClass(), outcome));
-            r.slot.streamFrom(stream);
+            r.slot.respondWith(stream);
         }
         notifyPolicy(m ->
                 m.onAttemptEnded(now, r.id, a.number, CallOutcome.OK, now - a.sentAt, true, 0, EndpointPool.NO_LOAD));
