--- a/src/main/java/quotagateway/client/LargeBodyReceiver.java
+++ b/src/main/java/quotagateway/client/LargeBodyReceiver.java
@@ -61,7 +61,7 @@
         if (!connection.isReading() || !claimed) {
             receiving.discard();
         }
-        receiving.content(part);
+        receiving.append(part);
         if (waitingCommand != null && (receiving.isReadyToForward() || requests.isMemoryExhausted())) {
             submitCommand(receiving);
         }
--- a/src/main/java/quotagateway/streaming/RequestBody.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -6,101 +6,125 @@
 import quotagateway.resp.RespCodec;
 
 /**
- * A request's value too large to stand in memory, on its way from a client to an app server. Its first part
- * is kept until an attempt takes it, and the rest passes through: so there is one such attempt, and a request
- * whose kept part is gone is not sent again.
+ * A request's body that is too large to be held in memory, on its way from a client to an endpoint. Its first part is
+ * buffered until an attempt takes it, and the rest is passed on as it comes. So there is one such attempt: once the
+ * buffered part has been written to an endpoint, the request cannot be sent to another one.
  */
 public final class RequestBody {
-
-    /** So much is kept (bytes) before a server is looked for, and no more. */
+    /** So much is buffered before an endpoint is looked for, and no more; a smaller body comes with its command. */
     public static final int MAX_BUFFERED_BYTES = RespCodec.VALUE;
 
+    /** What becomes of the parts that come. */
+    private enum State {
+        /** They are kept for the attempt to come. */
+        BUFFERING,
+        /** They go to the endpoint of the one attempt. */
+        FORWARDING,
+        /** They are dropped. */
+        DISCARDING
+    }
+
     private final int length;
-    private final double begunAt;
-    private final Runnable wanted;
-    private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
-    private int got;
-    private int bytes;
+    private final double startedAtMs;
+    private final Runnable onReadingChanged;
+    private final ArrayDeque<ByteBuf> buffer = new ArrayDeque<>();
+    private State state = State.BUFFERING;
+    private int receivedBytes;
+    private int bufferedBytes;
     private RequestBodySink sink;
-    private boolean taken;
-    private boolean dropped;
-    private boolean setWritable = true;
+    private boolean sinkWritable = true;
 
-    /** The last is run when the client should be read on, or no further. */
-    public RequestBody(int length, double now, Runnable wanted) {
+    /**
+     * A body of which nothing has come yet.
+     *
+     * @param length in bytes
+     * @param now the loop's clock (ms)
+     * @param onReadingChanged run whenever {@link #wantsMore} may have changed
+     */
+    public RequestBody(int length, double now, Runnable onReadingChanged) {
         this.length = length;
-        this.wanted = wanted;
-        begunAt = now;
+        this.onReadingChanged = onReadingChanged;
+        startedAtMs = now;
     }
 
+    /** The length of the whole body in bytes. */
     public int length() {
         return length;
     }
 
-    /** A part has come, which is this one's to release. */
-    public void content(ByteBuf part) {
-        got += part.readableBytes();
-        if (dropped) {
-            part.release();
-        } else if (sink != null) {
-            setWritable = sink.write(part, isComplete());
-            wanted.run();
-        } else {
-            bytes += part.readableBytes();
-            kept.add(part);
-            wanted.run();
+    /** Takes over the next part that has come from the client. */
+    public void append(ByteBuf part) {
+        receivedBytes += part.readableBytes();
+        switch (state) {
+            case BUFFERING -> {
+                bufferedBytes += part.readableBytes();
+                buffer.add(part);
+                onReadingChanged.run();
+            }
+            case FORWARDING -> {
+                sinkWritable = sink.write(part, isComplete());
+                onReadingChanged.run();
+            }
+            case DISCARDING -> part.release();
         }
     }
 
+    /** Whether the last byte has come from the client. */
     public boolean isComplete() {
-        return got == length;
+        return receivedBytes == length;
     }
 
-    /** Enough has come to look for a server. */
+    /** Whether enough has come to look for an endpoint. */
     public boolean isReadyToForward() {
-        return bytes >= MAX_BUFFERED_BYTES || isComplete();
+        return bufferedBytes >= MAX_BUFFERED_BYTES || isComplete();
     }
 
-    /** Whether more should be read from the client. */
+    /** Whether more should be read from the client now. */
     public boolean wantsMore() {
-        return dropped || (sink != null ? setWritable : bytes < MAX_BUFFERED_BYTES);
+        return switch (state) {
+            case BUFFERING -> bufferedBytes < MAX_BUFFERED_BYTES;
+            case FORWARDING -> sinkWritable;
+            case DISCARDING -> true;
+        };
     }
 
-    /** How long (ms) the rest takes at the pace so far. */
+    /** How long (ms) the rest will take to come, at the pace so far. */
     public double remainingMs(double now) {
-        return got == 0 ? 0 : (now - begunAt) / got * (length - got);
+        return receivedBytes == 0 ? 0 : (now - startedAtMs) / receivedBytes * (length - receivedBytes);
     }
 
-    /** An attempt has begun to take it, or it is of no more use: it cannot be sent as if whole. */
+    /** Whether no attempt can have it whole any more: one has begun to take it, or it is discarded. */
     public boolean isConsumed() {
-        return taken || dropped;
+        return state != State.BUFFERING;
     }
 
-    /** From here on all goes to this server. */
-    public void forwardTo(RequestBodySink server) {
-        taken = true;
-        sink = server;
-        while (!kept.isEmpty()) {
-            ByteBuf part = kept.poll();
-            setWritable = sink.write(part, isComplete() && kept.isEmpty());
+    /** Writes what is buffered to an endpoint, and all that comes from now on. */
+    public void forwardTo(RequestBodySink endpoint) {
+        if (state != State.DISCARDING) {
+            state = State.FORWARDING;
+            sink = endpoint;
+        }
+        while (!buffer.isEmpty()) {
+            ByteBuf part = buffer.poll();
+            sinkWritable = sink.write(part, isComplete() && buffer.isEmpty());
         }
-        wanted.run();
+        onReadingChanged.run();
     }
 
-    /** The server takes more, or no more for now. */
-    public void setWritable(boolean on) {
-        setWritable = on;
-        wanted.run();
+    /** The endpoint takes more, or no more for now. */
+    public void setWritable(boolean writable) {
+        sinkWritable = writable;
+        onReadingChanged.run();
     }
 
-    /** What has not come yet is read and dropped: the client's next command is behind it. */
+    /** Drops what has come, and what still comes: it is read, as the client's next command is behind it. */
     public void discard() {
-        if (!dropped) {
-            dropped = true;
+        if (state != State.DISCARDING) {
+            state = State.DISCARDING;
             sink = null;
-            kept.forEach(ReferenceCountUtil::release);
-            kept.clear();
-            wanted.run();
+            buffer.forEach(ReferenceCountUtil::release);
+            buffer.clear();
+            onReadingChanged.run();
         }
     }
 }
--- a/src/main/java/quotagateway/streaming/RequestBodySink.java
+++ b/src/main/java/quotagateway/streaming/RequestBodySink.java
@@ -2,8 +2,8 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** The app server's end. */
+/** The connection to an endpoint that a {@link RequestBody} is written to. */
 public interface RequestBodySink {
-    /** Takes the part over; false where no more should come for now. */
+    /** Takes over the next part; false where no more should come until it has been sent. */
     boolean write(ByteBuf part, boolean last);
 }
--- a/src/main/java/quotagateway/streaming/ResponseSink.java
+++ b/src/main/java/quotagateway/streaming/ResponseSink.java
@@ -2,14 +2,14 @@
 
 import io.netty.handler.codec.redis.RedisMessage;
 
-/** The client's end of a streamed response. */
+/** The place of a {@link StreamedResponse} among the responses that a client's connection owes. */
 public interface ResponseSink {
-    /** Gives a whole response in the stream's place. */
+    /** Gives a whole response in the stream's place; nothing of the stream has been written. */
     void respond(RedisMessage message);
 
-    /** The rest does not come: the client's connection is ended behind what was written. */
+    /** The rest of the stream does not come: the client's connection is ended behind what was written. */
     void abort();
 
-    /** The last byte is written. */
+    /** The last byte of the stream has been written to the connection. */
     void onStreamCompleted();
 }
--- a/src/main/java/quotagateway/streaming/ResponseSource.java
+++ b/src/main/java/quotagateway/streaming/ResponseSource.java
@@ -1,9 +1,10 @@
 package quotagateway.streaming;
 
-/** The app server's end. */
+/** The connection to an endpoint that a {@link StreamedResponse} comes from. */
 public interface ResponseSource {
-    void setReading(boolean on);
+    /** Reads on from the endpoint, or no further for now. */
+    void setReading(boolean reading);
 
-    /** The value is of no use any more. */
+    /** Nobody takes the rest of the stream: the connection is closed. */
     void stop();
 }
--- a/src/main/java/quotagateway/streaming/StreamedResponse.java
+++ b/src/main/java/quotagateway/streaming/StreamedResponse.java
@@ -14,30 +14,41 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * A value too large to stand in memory, on its way from an app server to a client. What has come is written
- * on at once; the server is read only while the client takes it. A stream ends in one way, and once.
+ * A response that is too large to be held in memory, on its way from an endpoint to a client. What comes is written
+ * on at once; the endpoint is read only while the client takes what is written.
+ *
+ * <p>A stream ends once, in one of three ways: it is written whole ({@code FULFILLED}), its source breaks off or it
+ * stalls ({@code FAULTED}), or its client disconnects (no outcome, as nobody hears of it).
  */
 public final class StreamedResponse {
+    /** A stream ends if for so long (ms) no byte has come from the endpoint or none was taken by the client. */
+    private static final double STALL_TIMEOUT_MS = 5000;
 
-    /** With no byte from the server, or none taken by the client, for so long (ms) the value ends there. */
-    private static final double STALLED = 5000;
-
-    private static final double CHECK = 500;
+    private static final double STALL_CHECK_INTERVAL_MS = 500;
 
     private final EventLoopContext loop;
     private final ResponseSource source;
     private final ResponseSink slot;
     private final Consumer<RequestOutcome> onEnded;
     private final int length;
-    /** What came with the first bytes while answers before this one were not written yet. */
-    private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
-
-    private Channel sink;
-    private boolean whole;
-    private boolean over;
-    private double movedAt;
-    private Future<?> watch;
-
+    /** What has come while responses before this one were not written yet. */
+    private final ArrayDeque<ByteBuf> earlyParts = new ArrayDeque<>();
+
+    /** The client's connection; null until it is this response's turn. */
+    private Channel client;
+
+    private boolean received;
+    private boolean ended;
+    private double lastProgressMs;
+    private Future<?> stallCheck;
+
+    /**
+     * A stream of which nothing has come but its length.
+     *
+     * @param slot its place on the client's connection
+     * @param length in bytes
+     * @param onEnded told how it has ended, null for a client that has disconnected
+     */
     public StreamedResponse(
             EventLoopContext loop,
             ResponseSource source,
@@ -49,84 +60,86 @@
         this.slot = slot;
         this.onEnded = onEnded;
         this.length = length;
-        movedAt = loop.now();
-        watch = loop.schedule(CHECK, this::check);
+        lastProgressMs = loop.now();
+        stallCheck = loop.schedule(STALL_CHECK_INTERVAL_MS, this::checkProgress);
     }
 
-    private void check() {
-        if (sink != null && loop.now() - movedAt > STALLED) {
+    private void checkProgress() {
+        if (client != null && loop.now() - lastProgressMs > STALL_TIMEOUT_MS) {
             onSourceFailed();
-        } else if (!over) {
-            watch = loop.schedule(CHECK, this::check);
+        } else if (!ended) {
+            stallCheck = loop.schedule(STALL_CHECK_INTERVAL_MS, this::checkProgress);
         }
     }
 
-    // ---- from the server ----
+    // ---- from the endpoint ----
 
-    /** Takes the part over. */
-    public void content(ByteBuf part, boolean last) {
-        if (over) {
+    /** Takes over the next part. */
+    public void append(ByteBuf part, boolean last) {
+        if (ended) {
             part.release();
             return;
         }
-        movedAt = loop.now();
-        whole = last;
-        if (sink == null) {
-            early.add(part);
+        lastProgressMs = loop.now();
+        received = last;
+        if (client == null) {
+            earlyParts.add(part);
         } else {
             write(part, last);
         }
         updateReading();
         if (last) {
-            source.setReading(true); // the rest of the answer is not the client's
+            source.setReading(true); // what follows on that connection is not for the client
         }
     }
 
-    /** The server's connection has ended, or what comes on it cannot be read: the rest does not come. */
+    /** The rest does not come: the endpoint's connection has ended, or cannot be read any more. */
     public void onSourceFailed() {
-        if (over || whole) {
+        if (ended || received) {
             return;
         }
-        boolean begun = sink != null;
+        boolean writingStarted = client != null;
         end(RequestOutcome.FAULTED);
         source.stop();
-        if (begun) {
+        if (writingStarted) {
             slot.abort();
         } else {
             slot.respond(new ErrorRedisMessage("ERR failed"));
         }
     }
 
-    // ---- from the client ----
+    // ---- from the client's connection ----
 
-    /** All answers before this one are written. */
+    /** All responses before this one have been written to the client; further calls change nothing. */
     public void startWriting(Channel channel) {
-        if (sink != null || over) {
+        if (client != null || ended) {
             return;
         }
-        sink = channel;
-        movedAt = loop.now();
-        sink.write(new BulkStringHeaderRedisMessage(length), sink.voidPromise());
-        loop.flushLater(sink);
-        while (!early.isEmpty()) {
-            ByteBuf part = early.poll();
-            write(part, whole && early.isEmpty());
+        client = channel;
+        lastProgressMs = loop.now();
+        client.write(new BulkStringHeaderRedisMessage(length), client.voidPromise());
+        loop.flushLater(client);
+        while (!earlyParts.isEmpty()) {
+            ByteBuf part = earlyParts.poll();
+            write(part, received && earlyParts.isEmpty());
         }
         updateReading();
     }
 
-    /** The client's connection has taken what was written, or has more than enough again. */
+    /** Has the endpoint read on while the client takes what is written, and not otherwise. */
     public void updateReading() {
-        if (!over && !whole) {
-            boolean on = sink != null && sink.isWritable();
-            movedAt = on ? loop.now() : movedAt;
-            source.setReading(on);
+        if (!ended && !received) {
+            boolean writable = client != null && client.isWritable();
+            if (writable) {
+                lastProgressMs = loop.now();
+            }
+            source.setReading(writable);
         }
     }
 
-    /** The client has gone: nobody waits for the rest. */
+    /** Nobody waits for the rest any more. */
     public void onClientDisconnected() {
-        if (!over) {
+        if (!ended) {
             end(null);
             source.stop();
         }
@@ -134,24 +147,24 @@
 
     private void write(ByteBuf part, boolean last) {
         if (!last) {
-            sink.write(new DefaultBulkStringRedisContent(part), sink.voidPromise());
+            client.write(new DefaultBulkStringRedisContent(part), client.voidPromise());
         } else {
-            sink.write(new DefaultLastBulkStringRedisContent(part)).addListener(f -> {
-                if (f.isSuccess()) {
+            client.write(new DefaultLastBulkStringRedisContent(part)).addListener(written -> {
+                if (written.isSuccess()) {
                     end(RequestOutcome.FULFILLED);
                 }
             });
             slot.onStreamCompleted();
         }
-        loop.flushLater(sink);
+        loop.flushLater(client);
     }
 
     private void end(RequestOutcome outcome) {
-        if (!over) {
-            over = true;
-            watch.cancel(false);
-            early.forEach(ReferenceCountUtil::release);
-            early.clear();
+        if (!ended) {
+            ended = true;
+            stallCheck.cancel(false);
+            earlyParts.forEach(ReferenceCountUtil::release);
+            earlyParts.clear();
             onEnded.accept(outcome);
         }
     }
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -591,7 +591,7 @@
             if (stream == null) {
                 part.release(); // its stream has ended, and this connection with it
             } else {
-                stream.content(part, last);
+                stream.append(part, last);
                 if (last) {
                     incomplete(null);
                 }
