--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -260,7 +260,10 @@
         closing.closeNow(reason);
     }
 
-    /** A streamed response cannot be whole. Only an end of the connection tells the client; earlier responses go out. */
+    /**
+     * A streamed response cannot be whole. Only an end of the connection tells the client; earlier responses still go
+     * out.
+     */
     void abortStream() {
         closing.ignoreInput();
         abandonRequests();
