--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -25,14 +25,14 @@
  * {@code record-startup} starts one at build time for the archive of classes.
  */
 public final class Main {
-    private static final ReloadSignal HANGUP = new ReloadSignal();
+    private static final ReloadSignal RELOAD_SIGNAL = new ReloadSignal();
 
     private Main() {}
 
     /** Runs the command and exits non-zero with one plain line where the input is malformed. */
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("serve")) {
-            HANGUP.caught(); // before all else: until then SIGHUP ends the process
+            RELOAD_SIGNAL.install(); // before all else: until then SIGHUP ends the process
             serve();
             return;
         }
@@ -63,7 +63,7 @@
     /** The same start among stand-ins, and the same end. */
     private static void recordStartup() throws IOException {
         try (StartupRecording stage = new StartupRecording()) {
-            HANGUP.caught();
+            RELOAD_SIGNAL.install();
             StartupTimeline.phaseEnded("JVM");
             GatewayNode node = begin(stage.environment());
             stage.ask((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
@@ -88,7 +88,7 @@
         GatewayNode node = new GatewayNode(config, Policy::new);
         Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain")); // SIGTERM may cross the bind
         // before the bind: who sees the node come up may send the signal in that moment
-        HANGUP.to(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
+        RELOAD_SIGNAL.setAction(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
         try {
             node.start(StartupTimeline.elapsedMs());
         } catch (IOException bad) {
--- /dev/null
+++ b/src/main/java/quotagateway/node/ClientRequestAcceptor.java
@@ -0,0 +1,131 @@
+package quotagateway.node;
+
+import io.netty.handler.codec.redis.ArrayRedisMessage;
+import io.netty.handler.codec.redis.ErrorRedisMessage;
+import quotagateway.client.ClientCommand;
+import quotagateway.client.ClientRequestHandler;
+import quotagateway.client.ResponseSlot;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.lifecycle.RequestOutcome;
+import quotagateway.log.NodeEvent;
+import quotagateway.policy.api.FailureReason;
+import quotagateway.policy.api.IncomingRequest;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.streaming.RequestBody;
+import quotagateway.transport.EventLoopContext;
+
+/** Makes requests of the commands that clients' connections have read, and hands them to the policy. */
+final class ClientRequestAcceptor implements ClientRequestHandler {
+    /** The longest wait (ms) that a client may name: past that its command is malformed. */
+    private static final double MAX_CLIENT_TIMEOUT_MS = 3_600_000;
+
+    private final EventLoopContext loop;
+    private final PolicySettings settings;
+    private final LifecycleGuard guard;
+    private final NodeTelemetry telemetry;
+    private final PolicyInvoker policy;
+    private final MemoryBudget memory;
+    private final RequestTable requests;
+    private final AttemptHandler attemptHandler;
+
+    ClientRequestAcceptor(
+            EventLoopContext loop,
+            PolicySettings settings,
+            LifecycleGuard guard,
+            NodeTelemetry telemetry,
+            PolicyInvoker policy,
+            MemoryBudget memory,
+            RequestTable requests,
+            AttemptHandler attemptHandler) {
+        this.loop = loop;
+        this.settings = settings;
+        this.guard = guard;
+        this.telemetry = telemetry;
+        this.policy = policy;
+        this.memory = memory;
+        this.requests = requests;
+        this.attemptHandler = attemptHandler;
+    }
+
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The client's wait begins with the last byte of its request; what is still to come of a large value is
+     * expected at the pace so far.
+     */
+    @Override
+    public String acceptCommand(ResponseSlot slot, ArrayRedisMessage message, RequestBody body) {
+        double now = loop.now();
+        ClientCommand command;
+        try {
+            command = ClientCommand.parse(message, settings);
+        } catch (IllegalArgumentException e) {
+            return e.getMessage();
+        }
+        double clientTimeoutMs = command.clientTimeoutMs();
+        if (!(clientTimeoutMs > 0 && clientTimeoutMs <= MAX_CLIENT_TIMEOUT_MS)) {
+            return "d is out of range";
+        }
+        guard.onRequestAccepted(command.id());
+        if (requests.hasClientId(command.id())) {
+            return "a request of this id is open"; // endpoints could not tell the two apart
+        }
+        if (requests.isPastShutdown(now)) {
+            rejectAtShutdown(slot, command, body);
+            return null;
+        }
+        double clientWaitMs = clientTimeoutMs + (body == null ? 0 : body.remainingMs(now));
+        double responseTimeMs = requests.responseTimeMs(now, clientWaitMs);
+        ResponseDeadline deadline = new ResponseDeadline(loop, now + clientWaitMs, now + responseTimeMs);
+        ActiveRequest request =
+                new ActiveRequest(requests, attemptHandler, requests.nextId(), slot, message, command, body, deadline);
+        requests.add(request);
+        telemetry.onRequestAccepted(command, slot, responseTimeMs);
+        if (!policy.tell(p -> p.onRequest(now, toPolicy(request.id(), command, responseTimeMs)))) {
+            requests.failUndecided(request);
+        }
+        return null;
+    }
+
+    private static IncomingRequest toPolicy(long id, ClientCommand command, double responseTimeMs) {
+        return new IncomingRequest(
+                id,
+                command.requestClass(),
+                command.plan(),
+                command.customer(),
+                responseTimeMs,
+                command.units(),
+                command.gatewayCount(),
+                command.firstGateway(),
+                command.retry());
+    }
+
+    /** All responses are due by now, and the process may be killed at any time: an open request would be lost. */
+    private void rejectAtShutdown(ResponseSlot slot, ClientCommand command, RequestBody body) {
+        if (body != null) {
+            body.discard();
+        }
+        telemetry.onRequestCompleted(command, RequestOutcome.THROTTLED, FailureReason.SHUTDOWN);
+        slot.respond(new ErrorRedisMessage("BUSY"));
+    }
+
+    @Override
+    public boolean isMemoryExhausted() {
+        return memory.isExhausted();
+    }
+
+    @Override
+    public boolean mayListen() {
+        return guard.mayListen();
+    }
+
+    @Override
+    public boolean mayClose(CloseReason reason, int openRequests) {
+        return guard.mayClose(reason, openRequests);
+    }
+
+    @Override
+    public void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed) {
+        telemetry.onClientConnectionClosed(closed);
+    }
+}
--- a/src/main/java/quotagateway/node/CordonStore.java
+++ b/src/main/java/quotagateway/node/CordonStore.java
@@ -1,136 +1,108 @@
 package quotagateway.node;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 import quotagateway.admin.CordonResult;
+import quotagateway.transport.EventLoopContext;
 
 /**
- * Keeps which servers are out by hand, in a file that the next process of this edge node finds. What is out
- * is the module's to know; this is its memory past the process's end. The file has a server a line and is
- * replaced whole. It is read again all the time: while a new version comes up, calls reach one process and
- * bind both.
+ * Keeps the policy's cordons and the {@link CordonFile} alike, so that they outlive the process. The file is polled
+ * too: while a new version comes up beside the old one, an operator's call reaches one of the two processes and holds
+ * for both. The policy is called on the event loop, the file on a thread that this class owns.
  */
-final class CordonStore {
+final class CordonStore implements AutoCloseable {
+    /** How often (ms) the file is read: a call holds for the other process 1 s later at the latest. */
+    private static final double POLL_INTERVAL_MS = 200;
 
-    /** Between readings (ms): a call binds the other process 1 s later at the latest. */
-    private static final double READ_EVERY = 200;
-
-    private final GatewayNode node;
-    private final Path file;
-    private final ExecutorService files = Executors.newSingleThreadExecutor(task -> {
+    private final EventLoopContext loop;
+    private final PolicyInvoker policy;
+    private final CordonFile file;
+    private final ExecutorService fileThread = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "cordons");
         thread.setDaemon(true);
         return thread;
     });
-    /** Calls so far: a reading that began before the last one is old. */
-    private long calls;
-    /** Calls on their way to the file. */
-    private int writing;
-    /** Calls in force that the file lacks: it must not take them back, and they are written again. */
-    private final Map<String, Boolean> unkept = new LinkedHashMap<>();
-    /** As last read or written by the thread of the files. */
-    private Set<String> last = Set.of();
+    /** Operators' calls so far: what was read before the last one is out of date. */
+    private long callCount;
+
+    private int pendingWrites;
+    /** Cordons set (true) or taken off (false), by endpoint, that the file lacks: written again until it has them. */
+    private final Map<String, Boolean> unstored = new LinkedHashMap<>();
 
-    CordonStore(GatewayNode node, Path folder, String name) {
-        this.node = node;
-        file = folder.resolve("cordons-" + name);
+    CordonStore(EventLoopContext loop, PolicyInvoker policy, Path folder, String name) {
+        this.loop = loop;
+        this.policy = policy;
+        file = new CordonFile(folder, name);
     }
 
-    /** Reads on from the loop, for as long as the node runs. */
-    void start() {
-        long asOf = calls;
-        files.execute(() -> {
-            Set<String> before = last;
-            Set<String> now = load();
-            last = now;
-            if (!now.equals(before)) {
-                node.execute(() -> {
-                    if (asOf == calls && writing == 0 && unkept.isEmpty()) {
-                        node.cordons(now);
-                    }
-                });
-            }
-        });
-        if (writing == 0) {
-            Map.copyOf(unkept).forEach((server, out) -> write(server, out, result -> {}));
+    /** The stored cordons; blocks, and is called before {@link #startPolling} only. */
+    Set<String> load() {
+        return file.read();
+    }
+
+    /** Reads the file from here on, for as long as the event loop runs; called on it. */
+    void startPolling() {
+        poll();
+    }
+
+    private void poll() {
+        if (fileThread.isShutdown()) {
+            return;
+        }
+        long callsBefore = callCount;
+        fileThread.execute(() -> file.readIfChanged()
+                .ifPresent(endpoints -> loop.execute(() -> applyUnlessOutdated(endpoints, callsBefore))));
+        if (pendingWrites == 0) {
+            Map.copyOf(unstored).forEach((endpoint, cordoned) -> write(endpoint, cordoned, result -> {}));
         }
-        node.schedule(READ_EVERY, this::start);
+        loop.schedule(POLL_INTERVAL_MS, this::poll);
     }
 
-    /** Takes a server out or puts it back: here at once, and answered when that is kept. */
-    void setCordoned(String server, boolean out, Consumer<CordonResult> answer) {
-        if (!node.cordon(server, out)) {
-            answer.accept(CordonResult.UNKNOWN);
+    /** What the file lacks must not be taken back by it. */
+    private void applyUnlessOutdated(Set<String> endpoints, long callsBefore) {
+        if (callsBefore == callCount && pendingWrites == 0 && unstored.isEmpty()) {
+            policy.replaceCordons(endpoints);
+        }
+    }
+
+    /**
+     * Cordons an endpoint or takes its cordon off; called on the event loop. It holds at once; the result comes, on the
+     * loop too, when it is stored or that has failed. What has failed is tried again.
+     */
+    void setCordoned(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
+        if (!policy.setCordoned(endpoint, cordoned)) {
+            onResult.accept(CordonResult.UNKNOWN);
             return;
         }
-        calls++;
-        unkept.put(server, out);
-        write(server, out, answer);
+        callCount++;
+        unstored.put(endpoint, cordoned);
+        write(endpoint, cordoned, onResult);
     }
 
-    private void write(String server, boolean out, Consumer<CordonResult> answer) {
-        writing++;
-        files.execute(() -> {
-            boolean done = keep(server, out);
-            node.execute(() -> {
-                writing--;
-                if (done) {
-                    unkept.remove(server, out); // unless the other call for it came meanwhile
-                }
-                answer.accept(done ? CordonResult.DONE : CordonResult.NOT_KEPT);
-            });
+    private void write(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
+        pendingWrites++;
+        fileThread.execute(() -> {
+            boolean stored = file.update(endpoint, cordoned);
+            loop.execute(() -> onWritten(endpoint, cordoned, stored, onResult));
         });
     }
 
-    /** What is kept; blocks. A line that is not whole, or a file that cannot be read, keeps no start back. */
-    Set<String> load() {
-        try {
-            String text = new String(Files.readAllBytes(file), StandardCharsets.UTF_8);
-            Set<String> servers = new TreeSet<>();
-            int from = 0;
-            for (int to = text.indexOf('\n'); to >= 0; to = text.indexOf('\n', from)) {
-                servers.add(text.substring(from, to));
-                from = to + 1;
-            }
-            return servers;
-        } catch (NoSuchFileException e) {
-            return Set.of();
-        } catch (IOException e) {
-            System.err.println("cordons: " + e);
-            return last;
+    private void onWritten(String endpoint, boolean cordoned, boolean stored, Consumer<CordonResult> onResult) {
+        pendingWrites--;
+        if (stored) {
+            unstored.remove(endpoint, cordoned); // unless the opposite call has come meanwhile
         }
+        onResult.accept(stored ? CordonResult.DONE : CordonResult.NOT_KEPT);
     }
 
-    private boolean keep(String server, boolean out) {
-        try {
-            Set<String> servers = new TreeSet<>(load()); // another process may have written since
-            if (out) {
-                servers.add(server);
-            } else {
-                servers.remove(server);
-            }
-            StringBuilder text = new StringBuilder();
-            servers.forEach(each -> text.append(each).append('\n'));
-            Path next = file.resolveSibling(
-                    file.getFileName() + "." + ProcessHandle.current().pid());
-            Files.writeString(next, text);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            last = servers;
-            return true;
-        } catch (IOException e) {
-            System.err.println("cordons: " + e);
-            return false;
-        }
+    /** Ends the thread once it has written what it has been given; called once the event loop has ended. */
+    @Override
+    public void close() {
+        fileThread.shutdown();
     }
 }
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import quotagateway.lifecycle.CloseReason;
 import quotagateway.lifecycle.Invariant;
-import quotagateway.lifecycle.NodeState;
 import quotagateway.lifecycle.SendDenial;
 import quotagateway.policy.api.Capabilities;
 import quotagateway.policy.api.EndpointDescriptor;
@@ -15,92 +15,107 @@
 import quotagateway.upstream.Attempt;
 
 /**
- * The one guard of what may lose, repeat or misplace a request: sending an attempt, repeating it, ending a
- * connection, listening, and ending the process. It is asked at the moment of the act, not of the decision.
- * What must hold whatever the peers do is an invariant: a violation is counted, told in the event log with
- * what led to it, and is a fault of this program. All of it runs on the node's loop.
+ * The one place that allows or denies what could lose a request, execute it twice or send it astray: sending an
+ * attempt, retrying, responding, closing a client's connection, listening, and ending the process. It is asked at the
+ * moment of the act, not of the decision, as time goes on between the two.
+ *
+ * <p>There are two kinds of answers. A {@link SendDenial} is ordinary: an attempt is no longer useful or no longer
+ * safe. An {@link Invariant} holds whatever clients and endpoints do; where it does not, that is a fault of this
+ * program, and the listener is told, so that it is counted and logged with what led to it:
+ *
+ * <ul>
+ *   <li>{@link Invariant#ONE_ANSWER}: a request gets one final response. A second one would be taken for the response
+ *       of the next request on the connection, so it is not written.
+ *   <li>{@link Invariant#ANSWERED_IN_TIME}: the response comes within {@link #MAX_RESPONSE_DELAY_MS} of the client's
+ *       timeout. A later one is still written, as the connection needs it.
+ *   <li>{@link Invariant#SENT_WITHIN_REQUEST}: no attempt begins more than {@link #MAX_SEND_DELAY_MS} after its
+ *       request is completed, for nobody would get its response. Attempts that wait for a connection are cancelled
+ *       when their request is completed.
+ *   <li>{@link Invariant#CLOSED_OWING_NOTHING}: a client's connection is not closed by this node while requests on it
+ *       are open: their clients would not know whether they were executed. Such a close is denied.
+ *   <li>{@link Invariant#ENDED_OWING_NOTHING}: a process that ends by itself has responded to every request, as it can
+ *       be relied on to be up until SIGKILL, and all responses are due before that.
+ *   <li>{@link Invariant#TAKEN_BEFORE_THE_END}: a node whose shutdown has ended accepts no request: it would be open
+ *       when the process exits.
+ * </ul>
+ *
+ * All of it runs on the event loop.
  */
-public final class LifecycleGuard {
-
+final class LifecycleGuard {
     /** A node may be held up so long (ms) between reading its clock and writing. */
-    private static final double HOLD_UP = 150;
-    /** Up to so long (ms) after its time an answer only earns nothing. */
-    private static final double ANSWER_LATE = 500;
-    /** An attempt that begins so long (ms) after the client's end counts as lost. */
-    private static final double SENT_LATE = 100;
-
-    /** Told of each violation. */
-    interface Listener {
-        void violated(Invariant invariant, String request);
+    private static final double MAX_NODE_STALL_MS = 150;
+    /** How late (ms) a response may be without being a fault: one up to here is only worth nothing. */
+    private static final double MAX_RESPONSE_DELAY_MS = 500;
+    /** An attempt that begins so long (ms) after the client's end counts as a lost request. */
+    private static final double MAX_SEND_DELAY_MS = 100;
+
+    /** Told of each violation of an invariant. */
+    @FunctionalInterface
+    interface ViolationListener {
+        /** An invariant does not hold for a request, by its client's id; null where it concerns no single one. */
+        void onViolated(Invariant invariant, String requestId);
     }
 
-    private final Capabilities allowed;
-    private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Listener listener;
-    private NodeState phase = NodeState.STARTING;
+    private final Capabilities capabilities;
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
+    private final NodeStateMachine state;
+    private final ViolationListener listener;
 
-    LifecycleGuard(PolicySettings settings, Listener listener) {
+    LifecycleGuard(PolicySettings settings, NodeStateMachine state, ViolationListener listener) {
+        this.state = state;
         this.listener = listener;
-        allowed = settings.capabilities();
-        settings.requestClasses().forEach(c -> classes.put(c.name(), c));
+        capabilities = settings.capabilities();
+        settings.requestClasses().forEach(c -> requestClasses.put(c.name(), c));
     }
 
     // ---- the process ----
 
-    /** Enters a state; false where it is past it: states have an order, and none is entered twice. */
-    boolean enter(NodeState next) {
-        if (next.compareTo(phase) <= 0) {
-            return false;
-        }
-        phase = next;
-        return true;
-    }
-
-    boolean hasEnded() {
-        return phase == NodeState.ENDED;
-    }
-
-    /** A process that was told to end, during its start too, does not begin to listen. */
-    public boolean mayListen() {
-        return phase.compareTo(NodeState.DRAINING) < 0;
+    /** Whether the node may begin to listen: not once it has been told to end, during its start too. */
+    boolean mayListen() {
+        return state.isBeforeDraining();
     }
 
-    /** Whether the process may end now by itself; past its last moment it does so all the same. */
+    /** Whether the process may end now; at its last moment it does so even where that violates an invariant. */
     boolean mayEnd(boolean clientsIdle, int openRequests, boolean lastMoment) {
         boolean owing = openRequests > 0;
         if (lastMoment && owing) {
-            violated(Invariant.ENDED_OWING_NOTHING, null);
+            listener.onViolated(Invariant.ENDED_OWING_NOTHING, null);
         }
         return lastMoment || (clientsIdle && !owing);
     }
 
     // ---- requests ----
 
-    /** A request is about to be taken. */
-    void taking(String request) {
-        if (hasEnded()) {
-            violated(Invariant.TAKEN_BEFORE_THE_END, request);
+    /** A request is accepted. */
+    void onRequestAccepted(String requestId) {
+        if (state.hasEnded()) {
+            listener.onViolated(Invariant.TAKEN_BEFORE_THE_END, requestId);
         }
     }
 
-    /** Whether a request may be given its answer now; false where it has one. */
-    boolean mayAnswer(String request, boolean over, double late) {
-        if (over) {
-            violated(Invariant.ONE_ANSWER, request);
+    /**
+     * Whether a request may be given its final response now.
+     *
+     * @param completed whether it needs no response any more
+     * @param lateMs how long ago its client's timeout was; negative where it is still to come
+     */
+    boolean mayRespond(String requestId, boolean completed, double lateMs) {
+        if (completed) {
+            listener.onViolated(Invariant.ONE_ANSWER, requestId);
             return false;
         }
-        if (late > ANSWER_LATE) {
-            violated(Invariant.ANSWERED_IN_TIME, request);
+        if (lateMs > MAX_RESPONSE_DELAY_MS) {
+            listener.onViolated(Invariant.ANSWERED_IN_TIME, requestId);
         }
         return true;
     }
 
-    /** Whether a client's connection may be ended now by this node; else its requests are answered first. */
-    public boolean mayClose(CloseReason reason, int openRequests) {
-        // behind half a value no answer can be told apart, and who reads nothing cannot be answered
-        boolean excused = reason == CloseReason.VALUE_BROKEN_OFF || reason == CloseReason.UNREAD;
-        if (openRequests > 0 && !excused) {
-            violated(Invariant.CLOSED_OWING_NOTHING, null);
+    /** Whether this node may close a client's connection now; where it may not, its requests come first. */
+    boolean mayClose(CloseReason reason, int openRequests) {
+        // no response can follow half a value, and a client that reads nothing cannot be given one
+        boolean cannotRespond = reason == CloseReason.VALUE_BROKEN_OFF || reason == CloseReason.UNREAD;
+        if (openRequests > 0 && !cannotRespond) {
+            listener.onViolated(Invariant.CLOSED_OWING_NOTHING, null);
             return false;
         }
         return true;
@@ -108,69 +123,71 @@
 
     // ---- attempts ----
 
-    /** Why this attempt may not be written now; null where it may. */
-    SendDenial denial(ActiveRequest r, Attempt a, double now) {
-        if (r.completed) {
-            return SendDenial.REQUEST_OVER;
+    /** Why an attempt, the last of its request, may not be sent now; empty where it may. */
+    Optional<SendDenial> denialOf(ActiveRequest request, Attempt attempt, double now) {
+        if (request.isCompleted()) {
+            return Optional.of(SendDenial.REQUEST_OVER);
         }
-        if (r.slot.isDisconnected()) {
-            return SendDenial.CLIENT_GONE;
+        if (request.isClientDisconnected()) {
+            return Optional.of(SendDenial.CLIENT_GONE);
         }
-        if (r.body != null && r.body.isConsumed()) {
-            return SendDenial.VALUE_GONE;
+        if (request.isBodyConsumed()) {
+            return Optional.of(SendDenial.VALUE_GONE);
         }
-        if (now >= r.deadline) {
-            return SendDenial.NO_TIME;
+        if (request.deadline().hasPassed(now)) {
+            return Optional.of(SendDenial.NO_TIME);
         }
-        if (a.number >= allowed.maxAttempts()) {
-            return SendDenial.ATTEMPTS_USED;
+        if (attempt.number >= capabilities.maxAttempts()) {
+            return Optional.of(SendDenial.ATTEMPTS_USED);
         }
-        RequestClass type = classes.get(r.parsed.requestClass());
-        for (Attempt before : r.attempts.subList(0, a.number)) {
-            SendDenial denial = repeat(type, before, a, now);
-            if (denial != null) {
+        RequestClass requestClass = requestClasses.get(request.command().requestClass());
+        for (int i = 0; i < attempt.number; i++) {
+            Optional<SendDenial> denial =
+                    denialOfRetry(requestClass, request.attempts().get(i), attempt, now);
+            if (denial.isPresent()) {
                 return denial;
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    /** Why an attempt may not follow this one before it; null where it may. */
-    SendDenial repeat(RequestClass type, Attempt before, Attempt next, double now) {
-        boolean out = !before.ended;
-        if (out && !allowed.hedging()) {
-            return SendDenial.COPY_OUT;
-        }
-        boolean ran = out || (before.outcome != null && !before.outcome.provesNotExecuted);
-        if (!ran || (type != null && type.idempotency() == Idempotency.IDEMPOTENT)) {
-            return null;
-        }
-        if (type == null || type.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            return SendDenial.NOT_REPEATABLE;
-        }
-        if (now - before.sentAt >= type.idempotencyWindow() - HOLD_UP) {
-            return SendDenial.WINDOW_OVER;
-        }
-        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.descriptor, next.descriptor)
-                ? SendDenial.OTHER_GROUP
-                : null;
+    /**
+     * Why an attempt may not follow an earlier one of its request now; empty where it may.
+     *
+     * @param requestClass the request's, or null where the settings have none of its name
+     */
+    Optional<SendDenial> denialOfRetry(RequestClass requestClass, Attempt earlier, Attempt next, double now) {
+        boolean inFlight = !earlier.ended;
+        if (inFlight && !capabilities.hedging()) {
+            return Optional.of(SendDenial.COPY_OUT);
+        }
+        boolean mayHaveRun = inFlight || (earlier.outcome != null && !earlier.outcome.provesNotExecuted);
+        if (!mayHaveRun || (requestClass != null && requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
+            return Optional.empty();
+        }
+        if (requestClass == null || requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            return Optional.of(SendDenial.NOT_REPEATABLE);
+        }
+        if (now - earlier.sentAt >= requestClass.idempotencyWindow() - MAX_NODE_STALL_MS) {
+            return Optional.of(SendDenial.WINDOW_OVER);
+        }
+        boolean leavesScope = requestClass.retriesStayInScope()
+                && !inSameScope(requestClass.retryScope(), earlier.descriptor, next.descriptor);
+        return leavesScope ? Optional.of(SendDenial.OTHER_GROUP) : Optional.empty();
     }
 
-    private static boolean sameGroup(RetryScope group, EndpointDescriptor one, EndpointDescriptor other) {
+    /** Whether two endpoints know each other's idempotency keys; an unknown endpoint is taken not to. */
+    private static boolean inSameScope(RetryScope scope, EndpointDescriptor one, EndpointDescriptor other) {
         if (one == null || other == null) {
             return false;
         }
-        return group == RetryScope.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
+        return scope == RetryScope.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
     }
 
-    /** An attempt has been written out, so long (ms) after its request was over, or 0. */
-    void written(String request, double afterEnd) {
-        if (afterEnd > SENT_LATE) {
-            violated(Invariant.SENT_WITHIN_REQUEST, request);
+    /** The last byte of an attempt is written, so long (ms) after its request was completed, or 0. */
+    void onAttemptWritten(String requestId, double afterCompletionMs) {
+        if (afterCompletionMs > MAX_SEND_DELAY_MS) {
+            listener.onViolated(Invariant.SENT_WITHIN_REQUEST, requestId);
         }
     }
-
-    private void violated(Invariant invariant, String request) {
-        listener.violated(invariant, request);
-    }
 }
--- /dev/null
+++ b/src/main/java/quotagateway/node/NodeAdminOperations.java
@@ -0,0 +1,44 @@
+package quotagateway.node;
+
+import java.util.function.Consumer;
+import quotagateway.admin.AdminOperations;
+import quotagateway.admin.CordonResult;
+import quotagateway.admin.Metrics;
+
+/** What operators may ask of a node at its admin endpoint, which is up before there is a policy. */
+final class NodeAdminOperations implements AdminOperations {
+    private final NodeStateMachine state;
+    private final Metrics metrics;
+    private final RequestTable requests;
+    private final PolicyInvoker policy;
+    private final CordonStore cordons;
+
+    NodeAdminOperations(
+            NodeStateMachine state, Metrics metrics, RequestTable requests, PolicyInvoker policy, CordonStore cordons) {
+        this.state = state;
+        this.metrics = metrics;
+        this.requests = requests;
+        this.policy = policy;
+        this.cordons = cordons;
+    }
+
+    @Override
+    public boolean acceptsClients() {
+        return state.isServing();
+    }
+
+    @Override
+    public String metricsText() {
+        return metrics.render(requests.openCount(), policy.endpointCount(), policy.unavailableEndpointCount());
+    }
+
+    /** {@inheritDoc} Before there is a policy no endpoint is known, and nothing is stored. */
+    @Override
+    public void cordon(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
+        if (policy.isCreated()) {
+            cordons.setCordoned(endpoint, cordoned, onResult);
+        } else {
+            onResult.accept(CordonResult.NOT_KEPT);
+        }
+    }
+}
--- a/src/main/java/quotagateway/node/ReloadSignal.java
+++ b/src/main/java/quotagateway/node/ReloadSignal.java
@@ -3,16 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which would end a JVM. The module jdk.unsupported has the one way to catch a signal; by reflection,
- * as a compiler that takes warnings for errors refuses its names, and they cannot be excused in the source.
- * What comes before there is anyone to tell is kept: the configuration has been read by then.
+ * Catches SIGHUP, which asks for the configuration to be read again, and which ends a JVM that does not catch it. The
+ * module jdk.unsupported has the one way to do that; it is used by reflection, as the compiler warns of its names in a
+ * way that cannot be suppressed in the source. A signal that comes before there is a node is kept for it: the
+ * configuration has been read by then.
  */
 public final class ReloadSignal {
-    private Runnable then;
-    private boolean missed;
+    private Runnable action;
+    private boolean pending;
 
-    /** Catches each SIGHUP from here on, on a thread of the JVM's own. */
-    public void caught() {
+    /** Catches each SIGHUP from here on; it arrives on a thread of the JVM's own. */
+    public void install() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -21,12 +22,12 @@
                     new Class<?>[] {handler},
                     (self, method, args) -> switch (method.getName()) {
                         case "handle" -> {
-                            came();
+                            onSignal();
                             yield null;
                         }
                         case "hashCode" -> System.identityHashCode(self);
                         case "equals" -> self == args[0];
-                        default -> "hangup";
+                        default -> "reload signal handler";
                     });
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
@@ -36,20 +37,20 @@
     }
 
     /** A signal has come. */
-    synchronized void came() {
-        if (then == null) {
-            missed = true;
+    synchronized void onSignal() {
+        if (action == null) {
+            pending = true;
         } else {
-            then.run();
+            action.run();
         }
     }
 
-    /** From here on this is run for each, and now for those that have come before, once for all. */
-    public synchronized void to(Runnable what) {
-        then = what;
-        if (missed) {
-            missed = false;
-            what.run();
+    /** Sets what is run for each signal from here on, and runs it now, once, where any have come before. */
+    public synchronized void setAction(Runnable newAction) {
+        action = newAction;
+        if (pending) {
+            pending = false;
+            newAction.run();
         }
     }
 }
--- a/src/test/java/quotagateway/node/EndpointConnectionsTest.java
+++ b/src/test/java/quotagateway/node/EndpointConnectionsTest.java
@@ -25,7 +25,7 @@
         Peer.Line second = app.accept();
         assertEquals("02", second.message().get(2));
         second.value("two");
-        node.execute(() -> node.releaseEndpoint("s0"));
+        node.eventLoop().execute(() -> node.policyActions().releaseEndpoint("s0"));
         assertTrue(second.ended());
         server.value("one");
         assertEquals(List.of("one"), client.message());
@@ -36,7 +36,7 @@
         arrived(3, "read");
         expect("ended 3 0 NO_CONNECTION false");
         assertEquals(List.of("-ERR failed"), client.message());
-        node.execute(() -> node.retainEndpoint(server("s0", app, EndpointState.UP)));
+        node.eventLoop().execute(() -> node.policyActions().retainEndpoint(server("s0", app, EndpointState.UP)));
         app.accept();
     }
 
@@ -45,9 +45,9 @@
         start();
         try (Peer other = new Peer();
                 Peer used = new Peer()) {
-            node.execute(() -> {
-                node.onEndpoints(List.of(server("s1", other, EndpointState.DRAINING)), false);
-                node.onEndpoints(List.of(server("s2", used, EndpointState.UP)), false);
+            node.eventLoop().execute(() -> {
+                node.discoveryListener().onEndpoints(List.of(server("s1", other, EndpointState.DRAINING)), false);
+                node.discoveryListener().onEndpoints(List.of(server("s2", used, EndpointState.UP)), false);
             });
             used.accept();
             assertEquals(null, other.poll(0));
@@ -59,9 +59,9 @@
     void aListInPartsEndsConnectionsAtItsEndAndNoSooner() throws Exception {
         start();
         try (Peer other = new Peer()) {
-            node.execute(() -> {
-                node.onEndpointListStarted();
-                node.onEndpoints(List.of(server("s1", other, EndpointState.UP)), false);
+            node.eventLoop().execute(() -> {
+                node.discoveryListener().onEndpointListStarted();
+                node.discoveryListener().onEndpoints(List.of(server("s1", other, EndpointState.UP)), false);
             });
             expect("changes s1 UP");
             other.accept();
@@ -71,13 +71,13 @@
             assertEquals("01", server.message().get(2));
             server.value("one");
             assertEquals(List.of("one"), client.message());
-            node.execute(() -> {
-                node.onEndpointListStarted(); // the one before never ended
-                node.onEndpoints(List.of(server("s0", app, EndpointState.UP)), false);
-                node.onEndpointListCompleted();
-                node.onEndpointListStarted();
-                node.onEndpoints(List.of(server("s1", other, EndpointState.UP)), false);
-                node.onEndpointListCompleted();
+            node.eventLoop().execute(() -> {
+                node.discoveryListener().onEndpointListStarted(); // the one before never ended
+                node.discoveryListener().onEndpoints(List.of(server("s0", app, EndpointState.UP)), false);
+                node.discoveryListener().onEndpointListCompleted();
+                node.discoveryListener().onEndpointListStarted();
+                node.discoveryListener().onEndpoints(List.of(server("s1", other, EndpointState.UP)), false);
+                node.discoveryListener().onEndpointListCompleted();
             });
             assertTrue(server.ended());
             other.accept();
--- a/src/test/java/quotagateway/node/GatewayNodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.EventLoopGroup;
+import io.netty.handler.codec.redis.ArrayRedisMessage;
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -20,6 +21,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import quotagateway.client.ClientListener;
+import quotagateway.client.ClientRequestHandler;
+import quotagateway.client.ResponseSlot;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.log.NodeEvent;
+import quotagateway.streaming.RequestBody;
 import quotagateway.transport.Transport;
 
 /** Calls through the edge node: order, outcomes, lists, counter, its end. */
@@ -332,6 +338,32 @@
         assertThrows(ConnectException.class, this::client);
     }
 
+    /** Stands behind a listener whose clients send no requests. */
+    private static final class PingOnly implements ClientRequestHandler {
+        @Override
+        public String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body) {
+            throw new IllegalStateException("no request is expected");
+        }
+
+        @Override
+        public boolean isMemoryExhausted() {
+            return false;
+        }
+
+        @Override
+        public boolean mayListen() {
+            return true;
+        }
+
+        @Override
+        public boolean mayClose(CloseReason reason, int openRequests) {
+            return true;
+        }
+
+        @Override
+        public void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed) {}
+    }
+
     /**
      * A client may come before bind has returned to its caller: the first was then dropped, as the listener
      * was not known yet. Here bind never returns, as its caller is interrupted.
@@ -346,7 +378,9 @@
         EventLoopGroup group = Transport.loop();
         try {
             Thread.currentThread().interrupt();
-            assertThrows(InterruptedException.class, () -> new ClientListener(node, node, 8).bind(group, address));
+            assertThrows(
+                    InterruptedException.class,
+                    () -> new ClientListener(node.eventLoop(), new PingOnly(), 8).bind(group, address));
             group.submit(() -> {}).sync(); // the bind that was left to the loop is done
             group.submit(() -> {}).sync();
             try (Peer.Line line = Peer.Line.to(address.getPort())) {
--- a/src/test/java/quotagateway/node/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -2,17 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import quotagateway.config.SettingsReader;
 import quotagateway.lifecycle.CloseReason;
 import quotagateway.lifecycle.Invariant;
-import quotagateway.lifecycle.NodeState;
 import quotagateway.lifecycle.SendDenial;
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointDescriptor;
@@ -22,116 +21,130 @@
 import quotagateway.policy.api.RetryScope;
 import quotagateway.upstream.Attempt;
 
-/** What the guard lets pass, and which violations it counts. */
+/** What the guard allows and denies, and which violations of invariants it reports. */
 class LifecycleGuardTest {
-    private static final double WINDOW = 2000;
+    private static final double WINDOW_MS = 2000;
 
     private final List<Invariant> violations = new ArrayList<>();
+    private final NodeStateMachine state = new NodeStateMachine((entered, responsesDueInMs) -> {});
     private final LifecycleGuard guard = guard(false);
 
-    private LifecycleGuard guard(boolean copies) {
+    private LifecycleGuard guard(boolean hedging) {
         return new LifecycleGuard(
-                SettingsReader.read(Map.of("limits.send_cap", "3", "limits.parallel_tries", Boolean.toString(copies))),
+                SettingsReader.read(Map.of("limits.send_cap", "3", "limits.parallel_tries", Boolean.toString(hedging))),
+                state,
                 (invariant, request) -> violations.add(invariant));
     }
 
-    private static RequestClass type(Idempotency effect, RetryScope group) {
-        return new RequestClass("c", effect, group, 500, 1000, 1, 0, WINDOW, false);
+    private static RequestClass requestClass(Idempotency idempotency, RetryScope scope) {
+        return new RequestClass("c", idempotency, scope, 500, 1000, 1, 0, WINDOW_MS, false);
     }
 
-    private static EndpointDescriptor server(int cell, String zone) {
+    private static EndpointDescriptor endpoint(int cell, String zone) {
         return new EndpointDescriptor("s" + cell, cell, zone, EndpointState.UP, "", 0, 1, 0);
     }
 
-    /** An attempt sent at 0, that has ended so; null where it is out. */
-    private static Attempt before(CallOutcome outcome, EndpointDescriptor place) {
-        Attempt attempt = new Attempt(null, 0, "s", 0, place);
+    /** An attempt sent at 0 that has ended with this outcome, or is in flight where that is null. */
+    private static Attempt earlier(CallOutcome outcome, EndpointDescriptor endpoint) {
+        Attempt attempt = new Attempt(null, 0, "s", 0, endpoint);
         attempt.outcome = outcome;
         attempt.ended = outcome != null;
         return attempt;
     }
 
-    private SendDenial repeat(Idempotency effect, CallOutcome outcome, double now) {
-        return guard.repeat(
-                type(effect, RetryScope.ALL), before(outcome, null), new Attempt(null, 1, "t", now, null), now);
+    private Optional<SendDenial> denialOfRetry(Idempotency idempotency, CallOutcome outcome, double now) {
+        return guard.denialOfRetry(
+                requestClass(idempotency, RetryScope.ALL),
+                earlier(outcome, null),
+                new Attempt(null, 1, "t", now, null),
+                now);
     }
 
     @Test
-    void whatNeverRanMayBeRepeatedWhateverItsEffect() {
-        for (Idempotency effect : Idempotency.values()) {
+    void attemptThatNeverRanIsRetriedWhateverItsIdempotency() {
+        for (Idempotency idempotency : Idempotency.values()) {
             for (CallOutcome outcome : List.of(CallOutcome.NO_CONNECTION, CallOutcome.FULL, CallOutcome.NOT_SENT)) {
-                assertNull(repeat(effect, outcome, 100), effect + " " + outcome);
+                assertEquals(Optional.empty(), denialOfRetry(idempotency, outcome, 100), idempotency + " " + outcome);
             }
         }
     }
 
     @Test
-    void whatMayHaveRunIsRepeatedOnlyWhereItsEffectAllows() {
+    void attemptThatMayHaveRunIsRetriedOnlyWhereItsIdempotencyAllows() {
         for (CallOutcome outcome :
                 List.of(CallOutcome.RESET, CallOutcome.TIMEOUT, CallOutcome.ERROR, CallOutcome.CANCELLED)) {
-            assertNull(repeat(Idempotency.IDEMPOTENT, outcome, 100));
-            assertNull(repeat(Idempotency.IDEMPOTENCY_KEY, outcome, 100));
-            assertEquals(SendDenial.NOT_REPEATABLE, repeat(Idempotency.NON_IDEMPOTENT, outcome, 100));
+            assertEquals(Optional.empty(), denialOfRetry(Idempotency.IDEMPOTENT, outcome, 100));
+            assertEquals(Optional.empty(), denialOfRetry(Idempotency.IDEMPOTENCY_KEY, outcome, 100));
+            assertEquals(
+                    Optional.of(SendDenial.NOT_REPEATABLE), denialOfRetry(Idempotency.NON_IDEMPOTENT, outcome, 100));
         }
     }
 
     /** The decision may be older: a connection had to come up first, or the node was held up. */
     @Test
-    void aKeyedOneIsNotRepeatedSoLateThatAHoldUpTakesItPastTheWindow() {
-        assertNull(repeat(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW - 151));
-        assertEquals(SendDenial.WINDOW_OVER, repeat(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW - 150));
+    void keyedRetryIsDeniedWhenAStallCouldTakeItPastTheWindow() {
+        assertEquals(Optional.empty(), denialOfRetry(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW_MS - 151));
+        assertEquals(
+                Optional.of(SendDenial.WINDOW_OVER),
+                denialOfRetry(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW_MS - 150));
     }
 
     @Test
-    void aClassThatTheSettingsLackIsNotRepeated() {
+    void retryOfAnUnknownClassIsDenied() {
         assertEquals(
-                SendDenial.NOT_REPEATABLE,
-                guard.repeat(null, before(CallOutcome.RESET, null), new Attempt(null, 1, "t", 1, null), 1));
+                Optional.of(SendDenial.NOT_REPEATABLE),
+                guard.denialOfRetry(null, earlier(CallOutcome.RESET, null), new Attempt(null, 1, "t", 1, null), 1));
     }
 
     @Test
-    void noCopyGoesOutWhereNoneIsAllowed() {
-        assertEquals(SendDenial.COPY_OUT, repeat(Idempotency.IDEMPOTENT, null, 100));
-        LifecycleGuard copies = guard(true);
+    void secondAttemptInFlightIsDeniedWithoutHedging() {
+        assertEquals(Optional.of(SendDenial.COPY_OUT), denialOfRetry(Idempotency.IDEMPOTENT, null, 100));
+        LifecycleGuard hedging = guard(true);
         Attempt next = new Attempt(null, 1, "t", 1, null);
-        assertNull(copies.repeat(type(Idempotency.IDEMPOTENT, RetryScope.ALL), before(null, null), next, 1));
         assertEquals(
-                SendDenial.NOT_REPEATABLE,
-                copies.repeat(type(Idempotency.NON_IDEMPOTENT, RetryScope.ALL), before(null, null), next, 1));
+                Optional.empty(),
+                hedging.denialOfRetry(
+                        requestClass(Idempotency.IDEMPOTENT, RetryScope.ALL), earlier(null, null), next, 1));
+        assertEquals(
+                Optional.of(SendDenial.NOT_REPEATABLE),
+                hedging.denialOfRetry(
+                        requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL), earlier(null, null), next, 1));
     }
 
     @Test
-    void aKeyedOneStaysWithTheServersThatKnowItsKey() {
-        Attempt first = before(CallOutcome.RESET, server(1, "a"));
-        for (EndpointDescriptor place :
-                new EndpointDescriptor[] {server(2, "a"), server(1, "a"), server(3, "b"), null}) {
-            Attempt next = new Attempt(null, 1, "t", 1, place);
-            boolean cell = place != null && place.cell() == 1;
-            boolean zone = place != null && place.zone().equals("a");
+    void keyedRetryStaysInItsScope() {
+        Attempt first = earlier(CallOutcome.RESET, endpoint(1, "a"));
+        for (EndpointDescriptor endpoint :
+                new EndpointDescriptor[] {endpoint(2, "a"), endpoint(1, "a"), endpoint(3, "b"), null}) {
+            Attempt next = new Attempt(null, 1, "t", 1, endpoint);
+            boolean sameCell = endpoint != null && endpoint.cell() == 1;
+            boolean sameZone = endpoint != null && endpoint.zone().equals("a");
+            assertEquals(
+                    sameCell ? Optional.empty() : Optional.of(SendDenial.OTHER_GROUP),
+                    guard.denialOfRetry(requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL), first, next, 1));
             assertEquals(
-                    cell ? null : SendDenial.OTHER_GROUP,
-                    guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL), first, next, 1));
+                    sameZone ? Optional.empty() : Optional.of(SendDenial.OTHER_GROUP),
+                    guard.denialOfRetry(requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE), first, next, 1));
             assertEquals(
-                    zone ? null : SendDenial.OTHER_GROUP,
-                    guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE), first, next, 1));
-            assertNull(guard.repeat(type(Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL), first, next, 1));
+                    Optional.empty(),
+                    guard.denialOfRetry(requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL), first, next, 1));
         }
     }
 
     @Test
-    void statesHaveAnOrder() {
+    void statesAreEnteredInOrderAndOnce() {
         assertTrue(guard.mayListen());
-        assertTrue(guard.enter(NodeState.DRAINING));
-        assertFalse(guard.enter(NodeState.SERVING));
-        assertFalse(guard.enter(NodeState.DRAINING));
+        assertTrue(state.startDraining(0));
+        assertFalse(state.startServing());
+        assertFalse(state.startDraining(0));
         assertFalse(guard.mayListen());
-        assertTrue(guard.enter(NodeState.ENDED));
-        assertTrue(guard.hasEnded());
+        assertTrue(state.end());
+        assertTrue(state.hasEnded());
         assertEquals(List.of(), violations);
     }
 
     @Test
-    void theProcessEndsWhenNothingIsOwed() {
+    void processEndsWhenNoResponseIsOwed() {
         assertFalse(guard.mayEnd(false, 0, false));
         assertFalse(guard.mayEnd(true, 1, false));
         assertTrue(guard.mayEnd(true, 0, false));
@@ -142,18 +155,18 @@
     }
 
     @Test
-    void eachBrokenInvariantIsCounted() {
-        assertTrue(guard.mayAnswer("01", false, 500));
-        assertFalse(guard.mayAnswer("01", true, 0));
-        assertTrue(guard.mayAnswer("01", false, 501));
-        guard.written("01", 100);
-        guard.written("01", 101);
+    void eachViolationIsReported() {
+        assertTrue(guard.mayRespond("01", false, 500));
+        assertFalse(guard.mayRespond("01", true, 0));
+        assertTrue(guard.mayRespond("01", false, 501));
+        guard.onAttemptWritten("01", 100);
+        guard.onAttemptWritten("01", 101);
         assertTrue(guard.mayClose(CloseReason.SHUTDOWN_IDLE, 0));
         assertTrue(guard.mayClose(CloseReason.VALUE_BROKEN_OFF, 2));
         assertFalse(guard.mayClose(CloseReason.SHUTDOWN_IDLE, 1));
-        guard.taking("01");
-        guard.enter(NodeState.ENDED);
-        guard.taking("02");
+        guard.onRequestAccepted("01");
+        state.end();
+        guard.onRequestAccepted("02");
         assertEquals(
                 List.of(
                         Invariant.ONE_ANSWER,
--- a/src/test/java/quotagateway/node/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/node/ReloadSignalTest.java
@@ -9,20 +9,20 @@
 class ReloadSignalTest {
     @Test
     void aSignalDuringTheStartIsHeardOnceThereIsANode() {
-        ReloadSignal hangup = new ReloadSignal();
+        ReloadSignal signal = new ReloadSignal();
         AtomicInteger told = new AtomicInteger();
-        hangup.came();
-        hangup.came();
-        hangup.to(told::incrementAndGet);
+        signal.onSignal();
+        signal.onSignal();
+        signal.setAction(told::incrementAndGet);
         assertEquals(1, told.get());
-        hangup.came();
+        signal.onSignal();
         assertEquals(2, told.get());
     }
 
     @Test
     void withoutASignalNothingIsRun() {
         AtomicInteger told = new AtomicInteger();
-        new ReloadSignal().to(told::incrementAndGet);
+        new ReloadSignal().setAction(told::incrementAndGet);
         assertEquals(0, told.get());
     }
 }
--- a/src/test/java/quotagateway/node/RequestEndTest.java
+++ b/src/test/java/quotagateway/node/RequestEndTest.java
@@ -169,7 +169,7 @@
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        while (node.acceptsClients()) {
+        while (node.state().isServing()) {
             Thread.onSpinWait();
         }
         return draining;
--- a/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
+++ b/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
@@ -38,24 +38,24 @@
 
     @Test
     void theKillComesBehindTheLongestDeadline() {
-        assertEquals(900, ShutdownDeadline.earliestKill(settings(100, 200)));
-        assertEquals(3008, ShutdownDeadline.earliestKill(settings(2308, 1000)));
+        assertEquals(900, ShutdownDeadline.earliestKillMs(settings(100, 200)));
+        assertEquals(3008, ShutdownDeadline.earliestKillMs(settings(2308, 1000)));
     }
 
     @Test
     void aLongerDeadlineCountsAsThreeSeconds() {
-        assertEquals(3700, ShutdownDeadline.earliestKill(settings(4000)));
-        assertEquals(3700, ShutdownDeadline.earliestKill(settings(10_000, 100)));
+        assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(4000)));
+        assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(10_000, 100)));
     }
 
     @Test
     void settingsThatTellNoDeadlineMayHaveAny() {
-        assertEquals(3700, ShutdownDeadline.earliestKill(settings()));
-        assertEquals(3700, ShutdownDeadline.earliestKill(settings(0)));
+        assertEquals(3700, ShutdownDeadline.earliestKillMs(settings()));
+        assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(0)));
     }
 
     @Test
     void answersAreDueTwoHoldUpsBeforeTheKill() {
-        assertEquals(2708, ShutdownDeadline.answersDue(settings(2308)));
+        assertEquals(2708, ShutdownDeadline.responsesDueInMs(settings(2308)));
     }
 }
