--- a/src/main/java/quotagateway/lifecycle/CloseReason.java
+++ b/src/main/java/quotagateway/lifecycle/CloseReason.java
@@ -1,39 +1,48 @@
 package quotagateway.lifecycle;
 
-/** Why a connection was closed, by which side. */
+/**
+ * Why a connection was closed. The names are labels of the metrics (in lower case) and stand in the event log, so they
+ * are fixed.
+ */
 public enum CloseReason {
-    /** The other side closed or reset it. */
+    /** The peer closed or reset it: the reason where this node gave none. */
     CLOSED_BY_PEER,
     /** An I/O error, or a fault in a handler. */
     ERROR,
-    /** A client's command could not be read, or did not come whole in time. */
+
+    // ---- clients' connections ----
+
+    /** What the client sent could not be read, or did not become a whole command in time. */
     MALFORMED,
-    /** A client between requests gave its place to another. */
+    /** At the limit on connections, an idle one was closed for a new one. */
     EVICTED,
-    /** The shutdown found a client's connection between requests. */
+    /** Idle during a shutdown. */
     SHUTDOWN_IDLE,
-    /** The shutdown let a client's connection end behind its last answer. */
+    /** During a shutdown, behind its last response. */
     SHUTDOWN_ANSWERED,
-    /** A value broke off while it was passed on to the client. */
+    /** The large value of a response ended before it was whole: the client cannot be told otherwise. */
     VALUE_BROKEN_OFF,
-    /** The client took nothing of what was left to it. */
+    /** The client did not read what was written to it. */
     UNREAD,
-    /** The client did not close its side after ours had ended. */
+    /** The client did not close its side after this node had closed its own. */
     LINGER_OVER,
-    /** Stood idle for longer than the place server is seen to bear. */
+
+    // ---- connections to endpoints ----
+
+    /** Idle for longer than endpoints have been seen to keep idle connections open. */
     IDLE_LIMIT,
-    /** Stood idle for nearly as long as the settings allow. */
+    /** Idle for nearly as long as the configuration says that endpoints keep idle connections open. */
     RETIRED,
-    /** Its place server is not used any more. */
+    /** Its endpoint is no longer in use. */
     SERVER_NOT_USED,
-    /** Idle, and another place server needed the descriptor. */
+    /** Idle, and another endpoint needed the descriptor. */
     ROOM,
-    /** Its attempt was given up: an answer is still owed on it. */
+    /** Its attempt was abandoned: the response to that would be taken for the next one's. */
     ATTEMPT_GIVEN_UP,
-    /** The place server sent what nobody asked for. */
+    /** The endpoint sent something that is no response to a request. */
     UNASKED,
-    /** The place server's answer could not be read, or did not come whole. */
+    /** The endpoint's response could not be read, or did not come whole. */
     UNREADABLE,
-    /** Nobody waits for the large value that comes on it. */
+    /** Nobody waits any more for the large value that comes on it. */
     VALUE_NOT_WANTED
 }
--- a/src/main/java/quotagateway/lifecycle/NodeState.java
+++ b/src/main/java/quotagateway/lifecycle/NodeState.java
@@ -1,13 +1,13 @@
 package quotagateway.lifecycle;
 
-/** The states of a node, in their order: none is entered twice. */
+/** The states of a node, in the order in which they are entered; some may be left out, none is entered twice. */
 public enum NodeState {
-    /** Comes up: does not listen yet. */
+    /** Comes up, and does not listen yet. */
     STARTING,
-    /** Listens, and takes requests. */
+    /** Listens and accepts requests. */
     SERVING,
-    /** Told to end: answers what it has taken, and what still comes on open connections. */
+    /** Has been told to end: responds to all open requests, and to those that still come. */
     DRAINING,
-    /** All is answered: the process may end. */
+    /** Owes no response: the process may end. */
     ENDED
 }
--- a/src/main/java/quotagateway/lifecycle/SendDenial.java
+++ b/src/main/java/quotagateway/lifecycle/SendDenial.java
@@ -1,23 +1,26 @@
 package quotagateway.lifecycle;
 
-/** Why an attempt must not be sent, or not any more. Denials are ordinary: time goes on meanwhile. */
+/**
+ * Why an attempt is not sent, though the policy has decided on it: time has gone on since. Denials are ordinary. The
+ * names are labels of the metrics (in lower case) and stand in the event log, so they are fixed.
+ */
 public enum SendDenial {
-    /** The request has its answer. */
+    /** The request has its response. */
     REQUEST_OVER,
-    /** The client has gone: an attempt that begins later counts as lost. */
+    /** The client has disconnected: an attempt that begins later counts as a lost request. */
     CLIENT_GONE,
-    /** The large value that belongs to it went out with another attempt. */
+    /** Its large value has gone out with another attempt, and is not kept. */
     VALUE_GONE,
-    /** The client's time is over, or the process's. */
+    /** The request's deadline has passed. */
     NO_TIME,
-    /** The settings allow no further attempt. */
+    /** The settings allow no more attempts of a request. */
     ATTEMPTS_USED,
-    /** Another attempt is out, and the settings allow no copies. */
+    /** Another attempt is in flight, and the settings allow no hedging. */
     COPY_OUT,
-    /** One may have run, and the class must not be repeated. */
+    /** An earlier attempt may have been executed, and the request class must not be executed twice. */
     NOT_REPEATABLE,
-    /** One may have run, and its servers may not know the key any more when this one comes. */
+    /** An earlier attempt may have been executed, and endpoints may have forgotten its idempotency key by now. */
     WINDOW_OVER,
-    /** One may have run, at a server of another group than this one's. */
+    /** An earlier attempt may have been executed, by an endpoint that does not share its keys with this one. */
     OTHER_GROUP
 }
