--- a/src/test/java/quotagateway/node/NodeFixture.java
+++ b/src/test/java/quotagateway/node/NodeFixture.java
@@ -189,7 +189,11 @@
     }
 
     void answerWatch() throws Exception {
-        watch = discovery.accept();
+        answerWatch(discovery.accept());
+    }
+
+    void answerWatch(Peer.Line connection) throws Exception {
+        watch = connection;
         assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", watch.line());
         while (!watch.line().isEmpty()) {
             assertTrue(watch.socket.isConnected());
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -4,12 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.ConnectException;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.config.GatewayConfig;
 import quotagateway.config.Json;
@@ -136,39 +139,73 @@
                 discovery.port(), GatewayConfig.reload(env).discoveryAddress().getPort());
     }
 
-    /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
+    /**
+     * A JVM without a handler ends with 129 at SIGHUP; here a child process has one. The steps wait for each other, and
+     * for as long as the child lives: how long its JVM takes to come up depends on the load of the machine.
+     */
     @Test
-    void aHangupDoesNotEndTheProcess() throws Exception {
+    @Timeout(120)
+    void hangupReloadsAProcessAndDoesNotEndIt() throws Exception {
+        try (ServerSocket free = new ServerSocket(0)) {
+            listen = free.getLocalPort();
+        }
         Path file = Files.writeString(folder.resolve("config.json"), config());
-        ProcessBuilder start = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "quotagateway.Main",
-                "serve");
-        start.environment().put("EDGE_CONFIG", file.toString());
-        start.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
-        Process process = start.start();
+        Process process = startProcess(file);
         try (Peer next = new Peer()) {
-            answerWatch(); // it runs, and has caught the signal before
-            counter.accept();
-            app.accept();
+            answerWatch(connectionFrom(process, discovery));
+            connectionFrom(process, counter);
+            connectionFrom(process, app);
+            awaitListening(process);
             Files.writeString(file, config().replace(discovery.address(), next.address()));
-            Peer.Line line = null;
-            for (int i = 0; i < 50 && line == null; i++) { // asked before it is up it has nothing to move
-                assertEquals(
-                        0,
-                        new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
-                                .start()
-                                .waitFor());
-                line = next.poll(200);
-                assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
-            }
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                            .start()
+                            .waitFor());
+            Peer.Line line = connectionFrom(process, next);
             answerLists(line, list(7, true, entry("s9", app.address(), "active")));
             assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.line());
+            assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
         } finally {
             process.destroy();
             assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         }
     }
+
+    private Process startProcess(Path config) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "quotagateway.Main",
+                "serve");
+        builder.environment().put("EDGE_CONFIG", config.toString());
+        builder.environment().put("TMPDIR", state.toString());
+        builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
+        return builder.start();
+    }
+
+    /** The next connection to a peer, which the process makes as long as it lives. */
+    private static Peer.Line connectionFrom(Process process, Peer peer) throws InterruptedException {
+        Peer.Line line = peer.poll(100);
+        while (line == null) {
+            assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
+            line = peer.poll(100);
+        }
+        return line;
+    }
+
+    /** It listens once its start is over. */
+    private void awaitListening(Process process) throws Exception {
+        while (true) {
+            assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
+            try (Peer.Line line = Peer.Line.to(listen)) {
+                line.command("PING");
+                assertEquals(List.of("+PONG"), line.message());
+                return;
+            } catch (ConnectException notYet) {
+                Thread.sleep(50);
+            }
+        }
+    }
 }
