--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -70,7 +70,7 @@
     }
 
     private static void serve() throws IOException {
-        RELOAD_SIGNAL.caught(); // before all else: until then a SIGHUP ends the process
+        RELOAD_SIGNAL.install(); // before all else: until then a SIGHUP ends the process
         StartupTimeline.phaseEnded("JVM");
         startGateway(System.getenv());
     }
@@ -78,7 +78,7 @@
     /** The same start among stand-ins; the JVM writes the class archive when the process exits. */
     private static void recordStartup() throws IOException {
         try (StartupRecording recording = new StartupRecording()) {
-            RELOAD_SIGNAL.caught();
+            RELOAD_SIGNAL.install();
             StartupTimeline.phaseEnded("JVM");
             GatewayNode node = startGateway(recording.environment());
             recording.exercise((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
@@ -109,7 +109,7 @@
         GatewayNode node = new GatewayNode(config, Policy::new);
         // Both signals are handled before the node listens: whoever sees it come up may send one at that moment.
         Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
-        RELOAD_SIGNAL.to(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
+        RELOAD_SIGNAL.setAction(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
         try {
             node.start(StartupTimeline.elapsedMs());
         } catch (IOException e) {
