--- /dev/null
+++ b/src/main/java/quotagateway/discovery/EndpointListForwarder.java
@@ -0,0 +1,74 @@
+package quotagateway.discovery;
+
+import java.util.List;
+import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.transport.ConfiguredAddress;
+import quotagateway.transport.EventLoopContext;
+
+/**
+ * Hands lists on to the listener, and their versions to the client. During a change of the address lists of the old
+ * and of the new one may come at the same time.
+ */
+final class EndpointListForwarder {
+    private final EventLoopContext loop;
+    private final DiscoveryListener listener;
+    private final DiscoveryClient client;
+    private final int maxEndpoints;
+    /** Whose list in parts was begun last: it has taken the place of any other that has not ended. */
+    private Source lastStarted;
+
+    private boolean tooManyNoticed;
+
+    EndpointListForwarder(EventLoopContext loop, DiscoveryListener listener, DiscoveryClient client, int maxEndpoints) {
+        this.loop = loop;
+        this.listener = listener;
+        this.client = client;
+        this.maxEndpoints = maxEndpoints;
+    }
+
+    /** A parser for the lists of one connection, or for the one list that was saved. */
+    EndpointListParser newParser(ConfiguredAddress source) {
+        return new EndpointListParser(new Source(source), maxEndpoints);
+    }
+
+    private final class Source implements EndpointListHandler {
+        private final ConfiguredAddress address;
+
+        Source(ConfiguredAddress address) {
+            this.address = address;
+        }
+
+        @Override
+        public void onListStarted() {
+            lastStarted = this;
+            listener.onEndpointListStarted();
+        }
+
+        @Override
+        public void onEndpoints(List<EndpointDescriptor> endpoints, boolean complete) {
+            listener.onEndpoints(endpoints, complete);
+        }
+
+        @Override
+        public void onListEnded(double version, boolean complete, boolean removesUnnamed) {
+            if (removesUnnamed && lastStarted == this) {
+                listener.onEndpointListCompleted();
+            }
+            client.onListEnded(address, version, complete);
+        }
+
+        @Override
+        public void onInvalidEntry(Exception cause) {
+            loop.logFailure("discovery", cause);
+        }
+
+        @Override
+        public void onTooManyEntries(int maxEntries) {
+            if (!tooManyNoticed) {
+                listener.logNotice("discovery: the list names more than " + maxEntries + " servers, the most that"
+                        + " limits.memory_mb bears; the others are left out and none is dropped by it");
+            }
+            tooManyNoticed = true;
+        }
+    }
+}
--- a/src/main/java/quotagateway/discovery/EndpointListParser.java
+++ b/src/main/java/quotagateway/discovery/EndpointListParser.java
@@ -8,319 +8,208 @@
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import quotagateway.config.CachedEndpointList;
 import quotagateway.config.Json;
-import quotagateway.policy.api.EndpointDescriptor;
-import quotagateway.policy.api.EndpointState;
-import quotagateway.transport.PackedAddress;
 
 /**
- * Reads lists of app servers as their text comes: JSON objects one behind another, indented or not, in pieces
- * cut anywhere. No text is held but that of the entry that is being read. A list of up to AT_ONCE entries is
- * handed over as one, a longer one in parts as they come.
+ * Reads endpoint lists as their text comes: JSON objects one behind another, indented or not, in pieces cut anywhere.
+ * No text is held but that of the entry that is being read. This class walks through the tokens; an entry is decoded
+ * by {@link EndpointEntry}, a list is put together by {@link EndpointListAssembler}.
  */
-public final class EndpointListParser implements CachedEndpointList.Reader {
-
-    /** Few enough to be taken at once beside requests, and more than most sites have. */
-    static final int AT_ONCE = 1000;
-    /** Of a long list so many at a time: requests wait behind each, and may wait 2.6 ms in all. */
-    private static final int PART = 250;
+final class EndpointListParser implements CachedEndpointList.Reader {
     /**
-     * No entry is as long as this (bytes), whatever it holds: it is all that is held of a list's text. An
-     * entry of the protocol page takes some 130.
+     * No entry is as long as this (bytes), whatever it holds: it is all that is held of a list's text. An entry of the
+     * protocol page takes some 130.
      */
-    static final int LONGEST_ENTRY = 64 << 10;
+    static final int MAX_ENTRY_BYTES = 64 << 10;
+
+    private static final int MAX_NESTING = 32;
 
-    private static final int DEEPEST = 32;
-    /** Zones and kinds are few words, each kept once; past this many, each for itself. */
-    private static final int WORDS = 1024;
+    /** Nesting inside the object of a list, inside its array of hosts, and inside an entry of that array. */
+    private static final int LIST_DEPTH = 1;
+
+    private static final int HOSTS_DEPTH = 2;
+    private static final int ENTRY_DEPTH = 3;
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(DEEPEST)
-                    .maxStringLength(LONGEST_ENTRY)
-                    .maxNameLength(LONGEST_ENTRY)
+                    .maxNestingDepth(MAX_NESTING)
+                    .maxStringLength(MAX_ENTRY_BYTES)
+                    .maxNameLength(MAX_ENTRY_BYTES)
                     .build())
             .build();
 
-    private final EndpointListHandler taker;
-    private final int most;
-    private final Map<String, String> words = new HashMap<>();
-    private JsonParser parser;
-    private byte[] some = new byte[0];
+    private final EndpointListAssembler list;
+    private final EndpointEntry entry = new EndpointEntry();
+    /** The parser of text that comes in pieces; null before the first. */
+    private JsonParser streamParser;
+
+    private byte[] buffer = new byte[0];
     private int depth;
-    private boolean inHosts;
-    /** Bytes since the entry or member that is being read began, by the pieces that came. */
-    private long held;
+    private boolean insideHosts;
+    /** The name of the member of a list or entry that comes next. */
+    private String memberName = "";
+    /** Bytes since the entry or member that is being read began, to the end of the piece that came last. */
+    private long heldBytes;
 
-    private long entries;
-    private long objects;
-    private long lists;
-    private boolean hosts;
-    private boolean parts;
-    private boolean complained;
-    private boolean whole;
-    private double seq;
-    private String name = "";
-    private final Entry entry = new Entry();
-    private List<EndpointDescriptor> servers = new ArrayList<>();
+    /**
+     * Makes a parser for the lists of one connection or one file.
+     *
+     * @param maxEntries entries of a list beyond this many are left out
+     */
+    EndpointListParser(EndpointListHandler handler, int maxEntries) {
+        list = new EndpointListAssembler(handler, maxEntries);
+    }
 
-    EndpointListParser(EndpointListHandler taker, int most) {
-        this.taker = taker;
-        this.most = most;
+    /** Whether the list that was read last has more entries than are held. */
+    boolean hasTooManyEntries() {
+        return list.hasTooManyEntries();
     }
 
-    /** Whether the list has more entries than there is room for. */
-    boolean tooLong() {
-        return entries > most;
+    /** Objects that have ended, lists or not. */
+    long objectCount() {
+        return list.objectCount();
     }
 
-    /** Objects that have come whole, lists or not. */
-    long objects() {
-        return objects;
+    /** The lists among the objects that have ended. */
+    long listCount() {
+        return list.listCount();
     }
 
-    /** Those of them that were lists. */
-    long lists() {
-        return lists;
+    /** Whether a list has begun and not ended. */
+    boolean isInsideList() {
+        return depth > 0;
     }
 
+    /** Returns the buffers of the JSON parser; nothing is read behind it. */
     void close() throws IOException {
-        if (parser != null) {
-            parser.close();
+        if (streamParser != null) {
+            streamParser.close();
         }
     }
 
-    /** Whether a list has begun and not ended. */
-    boolean pending() {
-        return depth > 0;
-    }
-
-    /** Takes the next bytes; throws where they are no JSON, or an entry is too long. */
+    /**
+     * Reads the next piece of text.
+     *
+     * @throws IOException where the text is not JSON, or an entry is too long
+     */
     void read(ByteBuf text) throws IOException {
-        if (parser == null) {
-            parser = FACTORY.createNonBlockingByteArrayParser();
+        if (streamParser == null) {
+            streamParser = FACTORY.createNonBlockingByteArrayParser();
         }
         int length = text.readableBytes();
-        some = some.length < length ? new byte[length] : some;
-        text.readBytes(some, 0, length);
-        held += length;
-        ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(some, 0, length);
-        for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-            token(t, parser);
+        buffer = buffer.length < length ? new byte[length] : buffer;
+        text.readBytes(buffer, 0, length);
+        heldBytes += length;
+        ((ByteArrayFeeder) streamParser.getNonBlockingInputFeeder()).feedInput(buffer, 0, length);
+        for (JsonToken token = streamParser.nextToken();
+                token != JsonToken.NOT_AVAILABLE;
+                token = streamParser.nextToken()) {
+            onToken(token, streamParser);
+        }
+        if (heldBytes > MAX_ENTRY_BYTES + length) {
+            throw new JsonParseException(streamParser, "an entry is longer than " + MAX_ENTRY_BYTES + " bytes");
         }
-        if (held > LONGEST_ENTRY + length) {
-            throw new JsonParseException(parser, "an entry is longer than " + LONGEST_ENTRY + " bytes");
+        if (depth == 0) {
+            heldBytes = 0; // between lists come empty lines for as long as a watch lasts
         }
-        held = depth == 0 ? 0 : held; // empty lines, for as long as a watch lasts
     }
 
-    /** A list that is in memory. */
+    /** Reads a list that is in memory. */
     @Override
-    public void read(Json list) {
-        begin();
-        hosts = list.get("hosts").isArray();
-        for (Json each : list.get("hosts").elements()) {
+    public void read(Json saved) {
+        startList();
+        Json hosts = saved.get("hosts");
+        if (hosts.isArray()) {
+            list.foundHosts();
+        }
+        for (Json each : hosts.elements()) {
             entry.clear();
-            each.members().forEach((member, value) -> entry.set(member, value.text(null)));
-            entry();
+            each.members().forEach((name, value) -> entry.set(name, value.text(null)));
+            list.add(entry);
         }
-        whole = list.get("whole").isTrue();
-        seq = list.get("seq").number(Double.NaN);
-        end();
+        list.setComplete(saved.get("whole").isTrue());
+        list.setVersion(saved.get("seq").number(Double.NaN));
+        list.end();
     }
 
-    /** The list that a parser is at the start of. */
+    /** Reads the list at whose start the parser is, to its end. */
     @Override
-    public void read(JsonParser in) throws IOException {
-        token(in.currentToken(), in);
+    public void read(JsonParser parser) throws IOException {
+        onToken(parser.currentToken(), parser);
         while (depth > 0) {
-            JsonToken t = in.nextToken();
-            if (t == null) {
+            JsonToken token = parser.nextToken();
+            if (token == null) {
                 throw new IOException("a list without an end");
             }
-            token(t, in);
+            onToken(token, parser);
         }
     }
 
-    private void token(JsonToken t, JsonParser in) throws IOException {
-        if (t.isStructStart()) {
-            opened(t);
-        } else if (t.isStructEnd()) {
-            closed();
-        } else if (t == JsonToken.FIELD_NAME) {
-            if (depth == 1 || (inHosts && depth == 3)) {
-                name = in.currentName();
+    private void onToken(JsonToken token, JsonParser parser) throws IOException {
+        if (token.isStructStart()) {
+            onStructStart(token);
+        } else if (token.isStructEnd()) {
+            onStructEnd();
+        } else if (token == JsonToken.FIELD_NAME) {
+            if (depth == LIST_DEPTH || isInsideEntry()) {
+                memberName = parser.currentName();
             }
-        } else if (inHosts && depth == 3) {
-            entry.set(name, t == JsonToken.VALUE_NULL ? null : in.getText());
-        } else if (inHosts && depth == 2) {
+        } else if (isInsideEntry()) {
+            entry.set(memberName, token == JsonToken.VALUE_NULL ? null : parser.getText());
+        } else if (insideHosts && depth == HOSTS_DEPTH) {
             entry.clear();
-            entry(); // no object: it cannot be understood, the others are of use
-        } else if (depth == 1) {
-            held = 0;
-            member(t, in);
+            list.add(entry); // not an object: reported as an entry that cannot be read, the others are of use
+        } else if (depth == LIST_DEPTH) {
+            heldBytes = 0;
+            onListMember(token, parser);
         }
     }
 
-    private void opened(JsonToken t) {
+    private boolean isInsideEntry() {
+        return insideHosts && depth == ENTRY_DEPTH;
+    }
+
+    private void onStructStart(JsonToken token) {
         if (depth == 0) {
-            begin();
-        } else if (depth == 1 && t == JsonToken.START_ARRAY && name.equals("hosts")) {
-            hosts = inHosts = true;
-            held = 0;
-        } else if (depth == 2 && inHosts) {
+            startList();
+        } else if (depth == LIST_DEPTH && token == JsonToken.START_ARRAY && memberName.equals("hosts")) {
+            list.foundHosts();
+            insideHosts = true;
+            heldBytes = 0;
+        } else if (depth == HOSTS_DEPTH && insideHosts) {
             entry.clear();
-            name = "";
-            held = 0;
+            memberName = "";
+            heldBytes = 0;
         }
         depth++;
     }
 
-    private void closed() {
+    private void onStructEnd() {
         depth--;
-        held = depth < 3 ? 0 : held;
-        if (depth == 0) {
-            end();
-        } else if (depth == 1) {
-            inHosts = false;
-        } else if (depth == 2 && inHosts) {
-            entry();
+        if (depth < ENTRY_DEPTH) {
+            heldBytes = 0;
         }
-    }
-
-    private void begin() {
-        servers = new ArrayList<>();
-        name = "";
-        entries = 0;
-        hosts = inHosts = parts = whole = complained = false;
-        seq = Double.NaN;
-    }
-
-    private void member(JsonToken t, JsonParser in) throws IOException {
-        if (name.equals("whole")) {
-            whole = t == JsonToken.VALUE_TRUE;
-        } else if (name.equals("seq") && t != JsonToken.VALUE_NULL) {
-            seq = number(in.getText(), Double.NaN);
-        }
-    }
-
-    private void entry() {
-        if (++entries > most) {
-            if (entries == most + 1L) {
-                taker.tooLong(most);
-            }
-            return;
-        }
-        EndpointDescriptor server;
-        try {
-            server = entry.server(words);
-        } catch (IllegalArgumentException e) {
-            if (!complained) {
-                taker.spoilt(e); // the others are of use
-            }
-            complained = true;
-            return;
-        }
-        if (servers.size() == (parts ? PART : AT_ONCE)) {
-            if (!parts) {
-                taker.begins();
-                parts = true;
-            }
-            part();
-        }
-        servers.add(server);
-    }
-
-    private void part() {
-        List<EndpointDescriptor> part = servers;
-        servers = new ArrayList<>();
-        taker.take(part, false);
-    }
-
-    private void end() {
-        objects++;
-        if (!hosts) {
-            return; // no list
+        if (depth == 0) {
+            list.end();
+        } else if (depth == LIST_DEPTH) {
+            insideHosts = false;
+        } else if (depth == HOSTS_DEPTH && insideHosts) {
+            list.add(entry);
         }
-        taker.take(servers, whole && !parts && !tooLong());
-        servers = new ArrayList<>();
-        lists++;
-        taker.ends(seq, whole, whole && parts && !tooLong());
     }
 
-    private static double number(String text, double other) {
-        try {
-            return text == null ? other : Double.parseDouble(text);
-        } catch (NumberFormatException e) {
-            return other;
-        }
+    private void startList() {
+        list.start();
+        memberName = "";
+        insideHosts = false;
     }
 
-    /** One entry, as its members come; those of other names are passed over. */
-    private static final class Entry {
-        private String host;
-        private String dial;
-        private String site;
-        private String kind;
-        private String block;
-        private String health;
-        private String share;
-        private String born;
-
-        void clear() {
-            host = dial = site = kind = block = health = share = born = null;
-        }
-
-        void set(String name, String value) {
-            switch (name) {
-                case "host" -> host = value;
-                case "dial" -> dial = value;
-                case "site" -> site = value;
-                case "class" -> kind = value;
-                case "block" -> block = value;
-                case "health" -> health = value;
-                case "share" -> share = value;
-                case "born_ms" -> born = value;
-                default -> {}
-            }
-        }
-
-        EndpointDescriptor server(Map<String, String> words) {
-            EndpointState state = switch (text(health)) {
-                case "active" -> EndpointState.UP;
-                case "left" -> EndpointState.REMOVED;
-                default -> EndpointState.DRAINING; // leaving, or a word to come: nothing new is safe
-            };
-            if (text(host).isEmpty()) {
-                throw new IllegalArgumentException("an entry of a list names no host");
-            }
-            return new EndpointDescriptor(
-                    host,
-                    (int) number(block, 0),
-                    once(site, words),
-                    state,
-                    once(kind, words),
-                    number(born, 0),
-                    number(share, 1),
-                    state == EndpointState.REMOVED && text(dial).isEmpty() ? 0 : PackedAddress.pack(text(dial)));
-        }
-
-        private static String text(String value) {
-            return value == null ? "" : value;
-        }
-
-        private static String once(String value, Map<String, String> words) {
-            String word = text(value);
-            String known = words.get(word);
-            if (known == null && words.size() < WORDS) {
-                words.put(word, word);
-            }
-            return known == null ? word : known;
+    private void onListMember(JsonToken token, JsonParser parser) throws IOException {
+        if (memberName.equals("whole")) {
+            list.setComplete(token == JsonToken.VALUE_TRUE);
+        } else if (memberName.equals("seq") && token != JsonToken.VALUE_NULL) {
+            list.setVersion(NumberText.parse(parser.getText(), Double.NaN));
         }
     }
 }
--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -32,16 +32,16 @@
 import quotagateway.policy.api.EndpointDescriptor;
 import quotagateway.transport.EventLoopContext;
 
-/** On one fake clock: what discovery has is heard of in time, whatever became of the calls before. */
+/** On a simulated clock and network: changes are heard of in time, whatever became of the calls before. */
 public class DiscoveryClientTest {
-    /** A change counts as told by then (ms), less the grace for a drain. */
-    private static final double TOLD = 6000 - 250;
+    /** A change counts as known after this (ms), less the grace period for a drain. */
+    private static final double KNOWN_WITHIN_MS = 6000 - 250;
 
-    /** What becomes of a call. */
-    private enum Way {
-        TELLS,
+    /** How the agent and the network treat a call. */
+    private enum CallFate {
+        ANSWERS,
         NO_CONNECTION,
-        NOT_UP,
+        CONNECT_TIMEOUT,
         RESET,
         NO_ANSWER,
         HEAD,
@@ -53,37 +53,37 @@
         NO_END
     }
 
-    /** Between the empty lines of a watch (ms). */
-    private static final double ALIVE = 2000;
+    /** The time between the empty lines of a watch. */
+    private static final double KEEP_ALIVE_MS = 2000;
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-    /** The node, the module's own pauses where lists are asked for, the network, and the agent behind it. */
+    /** The node with its clock, the network, the agent, and a policy that repeats calls itself where it asks for lists. */
     public static final class World implements EventLoopContext, DiscoveryListener, Connector {
         private record Task(double due, long number, Runnable what) {}
 
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingDouble(Task::due).thenComparingLong(Task::number));
-        private final Map<EmbeddedChannel, Way> open = new LinkedHashMap<>();
+        private final Map<EmbeddedChannel, CallFate> open = new LinkedHashMap<>();
         private final Random random = new Random(7);
-        private final boolean asked;
+        private final boolean policyAsks;
         private final DiscoveryClient discovery;
         private double now;
         private double backoff = 1000;
         private long number;
-        private Way way = Way.TELLS;
-        /** What becomes of the next call alone, or null. */
-        private Way once;
+        private CallFate fate = CallFate.ANSWERS;
+        /** How the next call alone is treated; null where it is as all others. */
+        private CallFate nextFate;
 
         private boolean news;
         private boolean silent;
-        private double heard = Double.MAX_VALUE;
-        private final List<String> told = new ArrayList<>();
+        private double heardAt = Double.MAX_VALUE;
+        private final List<String> events = new ArrayList<>();
         /** The entries of the list, or null for one. */
         private String hosts;
 
-        public World(boolean asked) {
-            this.asked = asked;
+        public World(boolean policyAsks) {
+            this.policyAsks = policyAsks;
             discovery = new DiscoveryClient(this, this, this, GatewayConfig.of(json("""
                 {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n","seed":"5",
                  "limits":{"memory_mb":32},"settings":{"rank":0,"group_size":1,
@@ -100,7 +100,7 @@
         }
 
         public void to(double time) {
-            while (!tasks.isEmpty() && tasks.peek().due <= time && heard == Double.MAX_VALUE) {
+            while (!tasks.isEmpty() && tasks.peek().due <= time && heardAt == Double.MAX_VALUE) {
                 Task task = tasks.poll();
                 now = task.due;
                 task.what.run();
@@ -130,17 +130,17 @@
 
         @Override
         public ChannelFuture connect(InetSocketAddress to, ChannelHandler handler) {
-            Way then = once == null ? way : once;
-            once = null;
-            if (then == Way.NO_CONNECTION || then == Way.NOT_UP) {
+            CallFate applied = nextFate == null ? fate : nextFate;
+            nextFate = null;
+            if (applied == CallFate.NO_CONNECTION || applied == CallFate.CONNECT_TIMEOUT) {
                 ChannelPromise promise = new EmbeddedChannel().newPromise();
                 schedule(
-                        then == Way.NOT_UP ? DiscoveryClient.CONNECT : 0,
+                        applied == CallFate.CONNECT_TIMEOUT ? SocketConnector.CONNECT_TIMEOUT_MS : 0,
                         () -> promise.setFailure(new ConnectException()));
                 return promise;
             }
             EmbeddedChannel c = new EmbeddedChannel(handler);
-            open.put(c, then);
+            open.put(c, applied);
             schedule(0, () -> {});
             return c.newSucceededFuture();
         }
@@ -155,24 +155,24 @@
             return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
         }
 
-        /** Text again and again, as long as the connection stands; a watch that had told falls silent. */
+        /** Text again and again, as long as the connection stands; a watch that has answered falls silent when told to. */
         private void keep(EmbeddedChannel c, double every, String text) {
             schedule(every, () -> {
-                if (c.isOpen() && !(silent && every == ALIVE)) {
+                if (c.isOpen() && !(silent && every == KEEP_ALIVE_MS)) {
                     write(c, text);
                     keep(c, every, text);
                 }
             });
         }
 
-        private void answer(EmbeddedChannel c, Way then, boolean watch) {
+        private void answer(EmbeddedChannel c, CallFate applied, boolean watch) {
             String host = NodeFixture.entry(news ? "news" : "s", "127.0.0.1:9", "active");
             String list = NodeFixture.list(41, !watch, hosts == null ? host : hosts) + "\n";
-            switch (then == Way.NO_END && watch ? Way.TELLS : then) {
-                case TELLS -> {
+            switch (applied == CallFate.NO_END && watch ? CallFate.ANSWERS : applied) {
+                case ANSWERS -> {
                     write(c, HEAD + chunk(list) + (watch ? "" : "0\r\n\r\n"));
                     if (watch) {
-                        keep(c, ALIVE, chunk("\n"));
+                        keep(c, KEEP_ALIVE_MS, chunk("\n"));
                     }
                 }
                 case RESET -> c.close();
@@ -210,29 +210,29 @@
         @Override
         public void onEndpoints(List<EndpointDescriptor> list, boolean whole) {
             if (list.stream().anyMatch(s -> s.id().equals("news"))) {
-                heard = now;
+                heardAt = now;
             }
         }
 
         @Override
         public void onEndpointListStarted() {
-            told.add("begins");
+            events.add("begins");
         }
 
         @Override
         public void onEndpointListCompleted() {
-            told.add("ends");
+            events.add("ends");
         }
 
         @Override
         public void logNotice(String what) {
-            told.add(what.substring(0, "discovery: the list names more than 4".length()));
+            events.add(what.substring(0, "discovery: the list names more than 4".length()));
         }
 
         /** Where lists are asked for the module asks again too, after pauses of up to 12 s. */
         @Override
         public void onDiscoveryFailed() {
-            if (asked) {
+            if (policyAsks) {
                 schedule(backoff * (0.5 + random.nextDouble()), discovery::subscribe);
                 backoff = Math.min(2 * backoff, 8000);
             }
@@ -255,48 +255,48 @@
         public void logFailure(String where, Throwable what) {}
     }
 
-    /** The time (ms) until news is heard: calls of one way for some time, one of another, then good ones. */
-    private static double delay(boolean asked, Way before, double lasting, boolean moved, Way once) {
-        World w = new World(asked);
+    /** The time (ms) until a change is heard of: calls of one fate for some time, one of another, then good ones. */
+    private static double delay(boolean policyAsks, CallFate before, double lastingMs, boolean moved, CallFate next) {
+        World w = new World(policyAsks);
         w.discovery.start(null);
         w.schedule(0, () -> {});
         w.to(3000);
-        w.way = before;
-        if (before != Way.TELLS) {
+        w.fate = before;
+        if (before != CallFate.ANSWERS) {
             List.copyOf(w.open.keySet()).forEach(EmbeddedChannel::close);
         }
-        w.to(3000 + Math.max(0, lasting - 200));
+        w.to(3000 + Math.max(0, lastingMs - 200));
         if (moved) {
             w.discovery.reconnectTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), 2));
             w.settle();
         }
-        w.to(3000 + lasting);
-        w.way = Way.TELLS;
-        w.once = once;
+        w.to(3000 + lastingMs);
+        w.fate = CallFate.ANSWERS;
+        w.nextFate = next;
         w.news = true;
         w.silent = true; // the watch that stands, too
         w.to(30_000);
-        return w.heard - 3000 - lasting;
+        return w.heardAt - 3000 - lastingMs;
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void newsIsHeardInTimeFromEveryState(boolean asked) {
+    void changeIsHeardInTimeFromEveryState(boolean policyAsks) {
         double worst = 0;
         String state = "";
-        for (Way before : Way.values()) {
-            for (Way once : Way.values()) {
+        for (CallFate before : CallFate.values()) {
+            for (CallFate next : CallFate.values()) {
                 for (int i = 0; i < 14; i++) {
-                    double lasting = 457 * i;
-                    double delay = delay(asked, before, lasting, i % 4 == 3, once);
+                    double lastingMs = 457 * i;
+                    double delay = delay(policyAsks, before, lastingMs, i % 4 == 3, next);
                     if (delay > worst) {
                         worst = delay;
-                        state = before + " for " + lasting + ", then " + once;
+                        state = before + " for " + lastingMs + ", then " + next;
                     }
                 }
             }
         }
-        assertTrue(worst <= TOLD, state + ": " + worst);
+        assertTrue(worst <= KNOWN_WITHIN_MS, state + ": " + worst);
         assertTrue(worst > 3000, "the states are gone through: " + worst);
     }
 
@@ -308,27 +308,27 @@
                         .toList());
     }
 
-    /** Only a list that has come to its end tells what is gone. */
+    /** Only a list that has come to its end removes endpoints. */
     @Test
-    void aLongListThatBreaksOffDropsNothingAndIsAskedForAnew() {
+    void longListThatBreaksOffRemovesNothingAndIsAskedForAgain() {
         World w = new World(false);
         w.hosts = hosts(2500);
-        w.way = Way.HALF;
+        w.fate = CallFate.HALF;
         w.discovery.start(null);
         w.to(70);
-        assertEquals(List.of("begins"), w.told);
-        w.way = Way.TELLS;
+        assertEquals(List.of("begins"), w.events);
+        w.fate = CallFate.ANSWERS;
         w.to(200);
-        assertEquals(List.of("begins", "begins", "ends", "begins"), w.told, "and many changes drop nothing");
+        assertEquals(List.of("begins", "begins", "ends", "begins"), w.events, "and many changes drop nothing");
     }
 
-    /** Ended by the old place, the new one's list would drop what it has yet to name. */
+    /** Completed by the old agent's end, the new agent's list would remove endpoints that it has yet to name. */
     @Test
-    void ofTwoLongListsTheLastBegunCounts() {
+    void ofTwoListsInPartsOnlyTheLastStartedRemovesEndpoints() {
         World w = new World(false);
         String list = NodeFixture.list(41, true, hosts(2500));
         int half = list.length() / 2;
-        w.way = Way.NO_ANSWER;
+        w.fate = CallFate.NO_ANSWER;
         w.discovery.start(null);
         w.to(1);
         EmbeddedChannel old = w.open.keySet().iterator().next();
@@ -338,14 +338,14 @@
         EmbeddedChannel next = List.copyOf(w.open.keySet()).get(1);
         World.write(next, HEAD + World.chunk(list.substring(0, half)));
         World.write(old, World.chunk(list.substring(half)));
-        assertEquals(List.of("begins", "begins"), w.told);
+        assertEquals(List.of("begins", "begins"), w.events);
         World.write(next, World.chunk(list.substring(half)));
-        assertEquals(List.of("begins", "begins", "ends"), w.told);
+        assertEquals(List.of("begins", "begins", "ends"), w.events);
     }
 
-    /** Told once; the watch goes on from it, and what it names behind is heard. */
+    /** The notice comes once; the watch goes on from the list, and its changes are heard of. */
     @Test
-    void aListPastTheBoundOfMemoryIsToldOnceAndServedOnFrom() {
+    void listBeyondTheMemoryBoundIsReportedOnceAndWatchedFrom() {
         World w = new World(false);
         w.hosts = hosts(42_000);
         w.discovery.start(null);
@@ -354,9 +354,32 @@
         w.news = true;
         List.copyOf(w.open.keySet()).forEach(EmbeddedChannel::close);
         w.to(400);
-        assertEquals(List.of("begins", "discovery: the list names more than 4"), w.told.subList(0, 2));
-        assertEquals(1, w.told.stream().filter(t -> t.startsWith("discovery")).count(), w.told.toString());
-        assertFalse(w.told.contains("ends"));
-        assertTrue(w.heard < 400, "the watch tells on");
+        assertEquals(List.of("begins", "discovery: the list names more than 4"), w.events.subList(0, 2));
+        assertEquals(1, w.events.stream().filter(t -> t.startsWith("discovery")).count(), w.events.toString());
+        assertFalse(w.events.contains("ends"));
+        assertTrue(w.heardAt < 400, "the watch goes on");
+    }
+
+    /** An answer of the connection that was left says nothing of the agent's list now. */
+    @Test
+    void addressConfiguredAgainIgnoresTheConnectionOfItsFirstConfiguration() {
+        World w = new World(false);
+        String list = HEAD + World.chunk(NodeFixture.list(41, true, hosts(3)));
+        w.fate = CallFate.NO_ANSWER;
+        w.discovery.start(null);
+        w.to(1);
+        for (int port : new int[] {2, 1}) {
+            w.discovery.reconnectTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            w.settle();
+        }
+        List<EmbeddedChannel> connections = List.copyOf(w.open.keySet());
+        assertEquals(3, connections.size());
+        World.write(connections.get(0), list);
+        assertFalse(w.discovery.ready().isDone());
+        assertTrue(connections.get(1).isOpen(), "it serves until the new one has sent a whole list");
+        World.write(connections.get(2), list);
+        assertTrue(w.discovery.ready().isDone());
+        assertFalse(connections.get(0).isOpen());
+        assertFalse(connections.get(1).isOpen());
     }
 }
--- a/src/test/java/quotagateway/discovery/EndpointListParserTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListParserTest.java
@@ -21,25 +21,25 @@
 import quotagateway.node.NodeFixture;
 import quotagateway.policy.api.EndpointDescriptor;
 
-/** Lists in every form that discovery may give them, cut anywhere, of any length. */
+/** Endpoint lists in every form that discovery may send, cut anywhere, of any length. */
 class EndpointListParserTest implements EndpointListHandler {
-    private static final int MOST = 5000;
-    private final List<String> told = new ArrayList<>();
-    private EndpointListParser reader = new EndpointListParser(this, MOST);
+    private static final int MAX_ENTRIES = 5000;
+    private final List<String> events = new ArrayList<>();
+    private EndpointListParser parser = new EndpointListParser(this, MAX_ENTRIES);
 
     @Override
-    public void begins() {
-        told.add("begins");
+    public void onListStarted() {
+        events.add("begins");
     }
 
     @Override
-    public void take(List<EndpointDescriptor> servers, boolean whole) {
-        if (servers.size() > 5) {
-            told.add((whole ? "whole " : "changes ") + servers.size());
+    public void onEndpoints(List<EndpointDescriptor> endpoints, boolean complete) {
+        if (endpoints.size() > 5) {
+            events.add((complete ? "whole " : "changes ") + endpoints.size());
             return;
         }
-        StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
-        servers.forEach(s -> text.append(' ')
+        StringBuilder text = new StringBuilder(complete ? "whole" : "changes");
+        endpoints.forEach(s -> text.append(' ')
                 .append(s.id())
                 .append('=')
                 .append(s.state())
@@ -51,28 +51,28 @@
                 .append(s.weight())
                 .append('@')
                 .append(s.address()));
-        told.add(text.toString());
+        events.add(text.toString());
     }
 
     @Override
-    public void ends(double seq, boolean whole, boolean drops) {
-        told.add("ends " + seq + (whole ? " whole" : "") + (drops ? " drops" : ""));
+    public void onListEnded(double version, boolean complete, boolean removesUnnamed) {
+        events.add("ends " + version + (complete ? " whole" : "") + (removesUnnamed ? " drops" : ""));
     }
 
     @Override
-    public void spoilt(Exception what) {
-        told.add("spoilt");
+    public void onInvalidEntry(Exception cause) {
+        events.add("spoilt");
     }
 
     @Override
-    public void tooLong(int most) {
-        told.add("longer than " + most);
+    public void onTooManyEntries(int maxEntries) {
+        events.add("longer than " + maxEntries);
     }
 
     private void read(String text, int piece) throws IOException {
         byte[] all = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < all.length; i += piece) {
-            reader.read(Unpooled.wrappedBuffer(all, i, Math.min(piece, all.length - i)));
+            parser.read(Unpooled.wrappedBuffer(all, i, Math.min(piece, all.length - i)));
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void allFormsAreOneListHoweverTheyAreCut() throws Exception {
+    void everyFormOfAListIsReadAlikeInPiecesOfAnySize() throws Exception {
         String entry = "{'zone':{'host':'x','a':[1,{'dial':[]}]},'host':'h0','dial':'1.2.3.4:5','site':'a',"
                 + "'class':'m','block':3,'health':'%s','share':0.5,'born_ms':7,'host2':null}";
         long dial = 0x01020304_0005L;
@@ -109,18 +109,18 @@
                 "whole h\u00e9=REMOVED00/1.0@0",
                 "ends NaN whole");
         for (int piece : new int[] {1, 2, 3, 7, 64, 10_000}) {
-            told.clear();
-            reader = new EndpointListParser(this, MOST);
+            events.clear();
+            parser = new EndpointListParser(this, MAX_ENTRIES);
             read(text, piece);
-            assertEquals(expected, told, "in pieces of " + piece);
-            assertFalse(reader.pending());
-            assertEquals(6, reader.objects());
-            assertEquals(3, reader.lists());
+            assertEquals(expected, events, "in pieces of " + piece);
+            assertFalse(parser.isInsideList());
+            assertEquals(6, parser.objectCount());
+            assertEquals(3, parser.listCount());
         }
     }
 
     @Test
-    void aFewGoOverAtOnceAndManyInParts() throws Exception {
+    void shortListIsHandedOverAsOneAndLongListInParts() throws Exception {
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(1000) + "]}", 8192);
         read("{\"hosts\":[" + hosts(2500) + "],\"whole\":true,\"seq\":2}", 8192);
         read("{\"hosts\":[" + hosts(1001) + "],\"whole\":false,\"seq\":3}", 8192);
@@ -141,60 +141,60 @@
                         "changes 1000",
                         "changes h1000=UP3am0/1.0@" + 0x7f000001_0009L,
                         "ends 3.0"),
-                told);
+                events);
     }
 
     @Test
-    void aTornListDropsNothing() throws Exception {
+    void listThatBreaksOffRemovesNothing() throws Exception {
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(2000) + ",{\"ho", 8192);
-        assertTrue(reader.pending());
-        assertEquals(List.of("begins", "changes 1000", "changes 250", "changes 250", "changes 250"), told);
+        assertTrue(parser.isInsideList());
+        assertEquals(List.of("begins", "changes 1000", "changes 250", "changes 250", "changes 250"), events);
     }
 
     @Test
-    void aListPastTheBoundIsToldAndDropsNothing() throws Exception {
-        read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(MOST + 1500) + "]}", 8192);
-        assertTrue(reader.tooLong());
+    void listBeyondTheBoundIsReportedAndRemovesNothing() throws Exception {
+        read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(MAX_ENTRIES + 1500) + "]}", 8192);
+        assertTrue(parser.hasTooManyEntries());
         assertEquals(
-                List.of("longer than " + MOST, "ends 1.0 whole"),
-                told.stream()
+                List.of("longer than " + MAX_ENTRIES, "ends 1.0 whole"),
+                events.stream()
                         .filter(t -> !t.startsWith("changes") && !t.equals("begins"))
                         .toList());
         assertEquals(
-                MOST,
-                told.stream()
+                MAX_ENTRIES,
+                events.stream()
                         .filter(t -> t.startsWith("changes "))
                         .mapToInt(t -> Integer.parseInt(t.substring(8)))
                         .sum());
         read("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts(6) + "]}", 8192);
-        assertFalse(reader.tooLong());
-        reader = new EndpointListParser(this, 6); // one bound under what goes over at once
-        told.clear();
+        assertFalse(parser.hasTooManyEntries());
+        parser = new EndpointListParser(this, 6); // a bound below the longest undivided list
+        events.clear();
         read("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts(7) + "]}", 8192);
-        assertEquals(List.of("longer than 6", "changes 6", "ends 1.0 whole"), told);
+        assertEquals(List.of("longer than 6", "changes 6", "ends 1.0 whole"), events);
     }
 
     @Test
-    void anEntryOfMegabytesEndsTheCallAndManyEmptyLinesDoNot() throws Exception {
+    void entryOfMegabytesIsRefusedAndManyEmptyLinesAreNot() throws Exception {
         String list = "{\"hosts\":[" + host(0) + ",{\"host\":\"";
         for (String rest : List.of(
                 "x".repeat(1 << 20),
                 "h\",\"a\":[" + "1,".repeat(1 << 19),
                 "h\",\"" + "n".repeat(1 << 20),
                 "h\"" + " ".repeat(1 << 20))) {
-            reader = new EndpointListParser(this, MOST);
+            parser = new EndpointListParser(this, MAX_ENTRIES);
             assertThrows(IOException.class, () -> read(list + rest, 8192));
         }
-        reader = new EndpointListParser(this, MOST);
+        parser = new EndpointListParser(this, MAX_ENTRIES);
         read("\n".repeat(1 << 18), 1);
         read("{\"hosts\":[" + hosts(6) + "]}", 8192);
-        assertEquals("ends NaN", told.get(told.size() - 1));
+        assertEquals("ends NaN", events.get(events.size() - 1));
         assertThrows(IOException.class, () -> read("{\"hosts\":" + "[".repeat(100), 8192), "nested too deep");
     }
 
-    /** As the file has it, after all else or before it, without its text in memory. */
+    /** The list may stand in front of all other members of the file or behind them; its text is never held as a whole. */
     @Test
-    void theListKnownFromBeforeIsReadFromTheFile(@TempDir Path folder) throws Exception {
+    void savedListIsReadFromTheConfigurationFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         String known = "\"known\":{\"seq\":41,\"hosts\":[" + hosts(1200) + "],\"whole\":true}";
         String rest = """
@@ -202,12 +202,12 @@
              "peers":["a"],"settings":{"rank":0,"group_size":1,"known":{},"request_classes":
               [{"name":"r","effect":"read_like","aim":6,"hard_limit":2000}],"tariffs":[]}""";
         for (String text : List.of(known + "," + rest, rest + "," + known)) {
-            told.clear();
+            events.clear();
             Files.writeString(file, "{" + text + "}");
             GatewayConfig config = GatewayConfig.fromEnvironment(Map.of("EDGE_CONFIG", file.toString()));
             assertEquals((32 << 20) / 800, config.maxEndpoints());
-            config.cachedEndpoints().read(reader);
-            assertEquals(List.of("begins", "changes 1000", "changes 200", "ends 41.0 whole drops"), told);
+            config.cachedEndpoints().read(parser);
+            assertEquals(List.of("begins", "changes 1000", "changes 200", "ends 41.0 whole drops"), events);
         }
         for (String none : List.of("", ",\"known\":null")) {
             Files.writeString(file, "{" + rest + none + "}");
