--- a/src/main/java/quotagateway/node/BackendClients.java
+++ b/src/main/java/quotagateway/node/BackendClients.java
@@ -4,6 +4,7 @@
 import quotagateway.config.GatewayConfig;
 import quotagateway.counter.CounterClient;
 import quotagateway.discovery.DiscoveryClient;
+import quotagateway.discovery.SocketConnector;
 import quotagateway.startup.Readiness;
 import quotagateway.startup.StartupTimeline;
 import quotagateway.upstream.EndpointPool;
@@ -29,8 +30,7 @@
                 config,
                 descriptors.endpointConnections());
         EndpointListUpdates listUpdates = new EndpointListUpdates(loop, endpoints, policy, telemetry);
-        DiscoveryClient discovery =
-                new DiscoveryClient(loop, listUpdates, DiscoveryClient.sockets(loop.group()), config);
+        DiscoveryClient discovery = new DiscoveryClient(loop, listUpdates, new SocketConnector(loop.group()), config);
         CounterClient counter = new CounterClient(
                 loop,
                 (name, outcome, tookMs, total) ->
