--- a/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
@@ -11,12 +11,15 @@
 import quotagateway.policy.api.EndpointState;
 
 /**
- * What the lists tell of every server, in some 140 bytes each: of 200,000 a node uses few. A container and no
- * more: servers stand by their bucket of the ring, and are found by id, by bucket and by cell at a cost that
- * does not grow with the list.
+ * What the endpoint lists say of every endpoint, in some 140 bytes each: of 200,000 a gateway uses few. It is a
+ * container and decides nothing. Endpoints stand by their bucket of the {@link ConsistentHashRing}, and are found by id,
+ * by bucket and by cell at a cost that does not grow with the list.
+ *
+ * <p>It is a hash table with chains, and a second one by cell, in place of maps: an entry is its own node in both, and
+ * the table's slots are ordered by bucket, so that a bucket is a range of slots.
  */
 public final class EndpointCatalog {
-    /** A server as the list names it, in the smallest form; GONE where it is in the list no more. */
+    /** An endpoint as the list names it, in the smallest form; its state is REMOVED once it is no longer listed. */
     private static final class Entry {
         final String id;
         final int cell;
@@ -25,8 +28,8 @@
         private String kind;
         private double startedAt;
         private double weight;
-        private long dial;
-        private int named;
+        private long address;
+        private int generation;
         private Entry next;
         private Entry nextInCell;
 
@@ -39,202 +42,217 @@
             return state == EndpointState.UP;
         }
 
-        EndpointDescriptor server() {
-            return new EndpointDescriptor(id, cell, zone, state, kind, startedAt, weight, dial);
+        EndpointDescriptor descriptor() {
+            return new EndpointDescriptor(id, cell, zone, state, kind, startedAt, weight, address);
         }
     }
 
-    /** Servers that have gone stay in their cell's line until they are so many, or this part of all. */
-    private static final int GONE_LEAST = 64;
-
-    private static final int GONE_PART = 16;
+    /** Removed entries stay in their cell's chain until they are more than this and the part below. */
+    private static final int MIN_REMOVED_FOR_REBUILD = 64;
+    /** One in so many of all entries. */
+    private static final int REMOVED_PART_DIVISOR = 16;
     /** Zones and kinds are few: past this number they are no names that come again. */
-    private static final int WORDS = 4096;
+    private static final int MAX_SHARED_WORDS = 4096;
+    /** 2^32 divided by the golden ratio. */
+    private static final int FIBONACCI_MULTIPLIER = 0x9e3779b9;
 
-    private final int buckets;
-    private final Map<String, String> words = new HashMap<>();
-    /** Lines by bucket, a power of two of them for each, told apart by the id's hash. */
+    private final int bucketCount;
+    private final Map<String, String> sharedWords = new HashMap<>();
+    /** Chains by bucket, a power of two of them for each bucket, told apart by the id's hash. */
     private Entry[] table;
 
     private Entry[] cells = new Entry[1];
     private int size;
-    private int up;
-    private int gone;
-    private int part;
-    private boolean reading;
-    private boolean ended;
+    private int upCount;
+    private int removedInCells;
+    /** The number of the list that names entries at present: entries of an older one were not named by it. */
+    private int generation;
+
+    private boolean listOpen;
+    private boolean listEverCompleted;
 
-    public EndpointCatalog(int buckets) {
-        this.buckets = buckets;
-        table = new Entry[buckets];
+    /** @param bucketCount buckets of the ring, one for each gateway */
+    public EndpointCatalog(int bucketCount) {
+        this.bucketCount = bucketCount;
+        table = new Entry[bucketCount];
     }
 
-    /** How many servers the list has, draining ones too. */
+    /** How many endpoints the list has, draining ones included. */
     public int size() {
         return size;
     }
 
-    public int up() {
-        return up;
+    /** How many of them are up. */
+    public int upCount() {
+        return upCount;
     }
 
-    /** A list begins that may come in parts; one that was begun and not ended tells of no absence. */
-    public void begin() {
-        part++;
-        reading = true;
+    /** A complete list begins that may come in parts; one that was begun and not ended removes nothing. */
+    public void beginList() {
+        generation++;
+        listOpen = true;
     }
 
-    /** Whether the first list has begun and not ended: its length is not known. */
-    boolean first() {
-        return reading && !ended;
+    /** Whether the first list has begun and not ended: its length is not known yet. */
+    boolean isFirstListIncomplete() {
+        return listOpen && !listEverCompleted;
     }
 
-    /** The list that was begun has ended: what it did not name has gone. */
-    public void end() {
-        if (reading) {
-            for (Entry head : table) {
-                Stream.iterate(head, Objects::nonNull, e -> e.next)
-                        .filter(e -> e.named != part)
-                        .forEach(this::remove);
-            }
-            reading = false;
-            ended = true;
+    /** The list that was begun has ended: what it did not name is removed. Without a list begun nothing happens. */
+    public void endList() {
+        if (!listOpen) {
+            return;
+        }
+        for (Entry head : table) {
+            chain(head).filter(entry -> entry.generation != generation).forEach(this::remove);
         }
+        listOpen = false;
+        listEverCompleted = true;
     }
 
-    /** The server of this id as the list has it, or null. */
+    private static Stream<Entry> chain(Entry head) {
+        return Stream.iterate(head, Objects::nonNull, entry -> entry.next);
+    }
+
+    /** The endpoint of this id as the list has it, or null. */
     public EndpointDescriptor get(String id) {
-        Entry e = find(id);
-        return e == null ? null : e.server();
+        Entry entry = find(id);
+        return entry == null ? null : entry.descriptor();
     }
 
     public boolean isUp(String id) {
-        Entry e = find(id);
-        return e != null && e.isUp();
+        Entry entry = find(id);
+        return entry != null && entry.isUp();
     }
 
     private Entry find(String id) {
-        Entry e = table[line(id)];
-        while (e != null && !e.id.equals(id)) {
-            e = e.next;
+        Entry entry = table[slot(id)];
+        while (entry != null && !entry.id.equals(id)) {
+            entry = entry.next;
         }
-        return e;
+        return entry;
     }
 
-    /** Takes a whole list, or changes of one, or a part. */
-    public void take(List<EndpointDescriptor> told, boolean whole) {
-        if (whole) {
-            begin();
+    /** Takes a complete list, or changes of one, or a part. */
+    public void update(List<EndpointDescriptor> endpoints, boolean complete) {
+        if (complete) {
+            beginList();
         }
-        told.forEach(this::put);
-        if (whole) {
-            end();
+        endpoints.forEach(this::put);
+        if (complete) {
+            endList();
         }
     }
 
-    private void put(EndpointDescriptor s) {
-        Entry e = find(s.id());
-        if (e != null && (s.state() == EndpointState.REMOVED || s.cell() != e.cell)) {
-            remove(e);
-            e = null;
+    private void put(EndpointDescriptor listed) {
+        Entry entry = find(listed.id());
+        if (entry != null && (listed.state() == EndpointState.REMOVED || listed.cell() != entry.cell)) {
+            remove(entry);
+            entry = null;
         }
-        if (s.state() == EndpointState.REMOVED) {
+        if (listed.state() == EndpointState.REMOVED) {
             return;
         }
-        if (e == null) {
-            e = new Entry(s.id(), s.cell());
-            if (++size > table.length || gone > GONE_LEAST + size / GONE_PART) {
+        if (entry == null) {
+            entry = new Entry(listed.id(), listed.cell());
+            if (++size > table.length || removedInCells > MIN_REMOVED_FOR_REBUILD + size / REMOVED_PART_DIVISOR) {
                 rebuild();
             }
-            link(e);
+            link(entry);
         }
-        up += (s.state() == EndpointState.UP ? 1 : 0) - (e.isUp() ? 1 : 0);
-        e.state = s.state();
-        e.zone = word(s.zone());
-        e.kind = word(s.kind());
-        e.startedAt = s.startedAt();
-        e.weight = s.weight();
-        e.dial = s.address();
-        e.named = part;
-    }
-
-    private String word(String word) {
-        String known = words.size() < WORDS ? words.putIfAbsent(word, word) : words.get(word);
+        upCount += (listed.state() == EndpointState.UP ? 1 : 0) - (entry.isUp() ? 1 : 0);
+        entry.state = listed.state();
+        entry.zone = shared(listed.zone());
+        entry.kind = shared(listed.kind());
+        entry.startedAt = listed.startedAt();
+        entry.weight = listed.weight();
+        entry.address = listed.address();
+        entry.generation = generation;
+    }
+
+    /** One object for all equal words: each list is parsed anew. */
+    private String shared(String word) {
+        String known =
+                sharedWords.size() < MAX_SHARED_WORDS ? sharedWords.putIfAbsent(word, word) : sharedWords.get(word);
         return known == null ? word : known;
     }
 
-    private void remove(Entry e) {
-        up -= e.isUp() ? 1 : 0;
-        e.state = EndpointState.REMOVED;
-        int at = line(e.id);
-        if (table[at] == e) {
-            table[at] = e.next;
+    /** Takes the entry out of its chain by id; that of its cell keeps it until the next rebuild. */
+    private void remove(Entry entry) {
+        upCount -= entry.isUp() ? 1 : 0;
+        entry.state = EndpointState.REMOVED;
+        int slot = slot(entry.id);
+        if (table[slot] == entry) {
+            table[slot] = entry.next;
         } else {
-            Entry before = table[at];
-            while (before.next != e) {
+            Entry before = table[slot];
+            while (before.next != entry) {
                 before = before.next;
             }
-            before.next = e.next;
+            before.next = entry.next;
         }
         size--;
-        gone++;
+        removedInCells++;
     }
 
-    private void link(Entry e) {
-        int at = line(e.id);
-        e.next = table[at];
-        table[at] = e;
-        int cell = cell(e.cell);
-        e.nextInCell = cells[cell];
-        cells[cell] = e;
+    private void link(Entry entry) {
+        int slot = slot(entry.id);
+        entry.next = table[slot];
+        table[slot] = entry;
+        int cellSlot = cellSlot(entry.cell);
+        entry.nextInCell = cells[cellSlot];
+        cells[cellSlot] = entry;
     }
 
+    /** Makes room for more entries, and drops removed ones from the chains of their cells. */
     private void rebuild() {
         Entry[] old = table;
-        int lines = 1;
-        while ((long) lines * buckets < size) {
-            lines *= 2;
+        int slotsPerBucket = 1;
+        while ((long) slotsPerBucket * bucketCount < size) {
+            slotsPerBucket *= 2;
         }
-        table = new Entry[lines * buckets];
+        table = new Entry[slotsPerBucket * bucketCount];
         cells = new Entry[2 * Integer.highestOneBit(size)];
-        gone = 0;
+        removedInCells = 0;
         for (Entry head : old) {
-            for (Entry e = head; e != null; ) {
-                Entry next = e.next;
-                link(e);
-                e = next;
+            for (Entry entry = head; entry != null; ) {
+                Entry next = entry.next;
+                link(entry);
+                entry = next;
             }
         }
     }
 
-    private int line(String id) {
-        int lines = table.length / buckets;
-        return ConsistentHashRing.bucket(id, buckets) * lines + (spread(id.hashCode()) & lines - 1);
+    private int slot(String id) {
+        int slotsPerBucket = table.length / bucketCount;
+        return ConsistentHashRing.bucket(id, bucketCount) * slotsPerBucket
+                + (spread(id.hashCode()) & (slotsPerBucket - 1));
     }
 
-    private int cell(int cell) {
-        return spread(cell) & cells.length - 1;
+    private int cellSlot(int cell) {
+        return spread(cell) & (cells.length - 1);
     }
 
+    /** Fibonacci hashing (Knuth): numbers in a row do not meet. */
     private static int spread(int hash) {
-        int h = hash * 0x9e3779b9; // Fibonacci hashing: numbers in a row do not meet
-        return h ^ h >>> 16;
+        int product = hash * FIBONACCI_MULTIPLIER;
+        return product ^ (product >>> 16);
     }
 
-    /** The servers of these buckets that are up. */
-    public Stream<EndpointDescriptor> inBuckets(IntStream numbers) {
-        int lines = table.length / buckets;
-        return numbers.boxed()
-                .flatMap(n -> Arrays.stream(table, n * lines, (n + 1) * lines))
-                .flatMap(head -> Stream.iterate(head, Objects::nonNull, e -> e.next))
+    /** The endpoints of these buckets that are up. */
+    public Stream<EndpointDescriptor> inBuckets(IntStream buckets) {
+        int slotsPerBucket = table.length / bucketCount;
+        return buckets.boxed()
+                .flatMap(bucket -> Arrays.stream(table, bucket * slotsPerBucket, (bucket + 1) * slotsPerBucket))
+                .flatMap(EndpointCatalog::chain)
                 .filter(Entry::isUp)
-                .map(Entry::server);
+                .map(Entry::descriptor);
     }
 
-    /** The servers of a cell that are up. */
-    public Stream<EndpointDescriptor> inCell(int number) {
-        return Stream.iterate(cells[cell(number)], Objects::nonNull, e -> e.nextInCell)
-                .filter(e -> e.cell == number && e.isUp())
-                .map(Entry::server);
+    /** The endpoints of a cell that are up. */
+    public Stream<EndpointDescriptor> inCell(int cell) {
+        return Stream.iterate(cells[cellSlot(cell)], Objects::nonNull, entry -> entry.nextInCell)
+                .filter(entry -> entry.cell == cell && entry.isUp())
+                .map(Entry::descriptor);
     }
 }
--- /dev/null
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -0,0 +1,46 @@
+package quotagateway.policy.health;
+
+import java.util.IdentityHashMap;
+import quotagateway.policy.api.RequestClass;
+import quotagateway.policy.statistics.DecayingValue;
+
+/**
+ * How likely one endpoint fails a request, or cannot be reached, for each request class: an endpoint may fail one class
+ * and serve the others.
+ */
+public final class FailureEstimator {
+    /** Half is forgotten in this time; slower than slowness, as a failed try costs a whole attempt. */
+    private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
+
+    /** By identity: the settings have one object for each class, whose hash would cost more than the look-up. */
+    private final IdentityHashMap<RequestClass, DecayingValue> failureShares = new IdentityHashMap<>();
+
+    /** The part of this class's attempts that fail, from 0 to 1. */
+    public double failureShare(RequestClass requestClass, double now) {
+        DecayingValue share = failureShares.get(requestClass);
+        return share == null ? 0 : share.valueAt(now);
+    }
+
+    public void recordSuccess(RequestClass requestClass, double now) {
+        record(requestClass, 0, now);
+    }
+
+    public void recordFailure(RequestClass requestClass, double now) {
+        record(requestClass, 1, now);
+    }
+
+    /** The newest sample counts as much as all before it: one failure is reason enough to try elsewhere. */
+    private void record(RequestClass requestClass, double failed, double now) {
+        DecayingValue share = failureShares.get(requestClass);
+        if (share == null) {
+            share = new DecayingValue(0, FAILURE_HALF_LIFE_MS, now);
+            failureShares.put(requestClass, share);
+        }
+        share.set((share.valueAt(now) + failed) / 2, now);
+    }
+
+    /** Forgets everything: another process answers there now. */
+    public void reset() {
+        failureShares.clear();
+    }
+}
