--- a/src/main/java/quotagateway/policy/endpoint/EndpointRegistry.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointRegistry.java
@@ -85,8 +85,14 @@
         fitSubset(attemptsInFlight);
     }
 
+    /** Called at every re-split, with the mean number of attempts in flight. */
+    public void endPeriod(double attemptsInFlight) {
+        fitSubset(attemptsInFlight);
+        fleetSize.endPeriod(members.size());
+    }
+
     /** The subset follows the load, given as the mean number of attempts in flight, and the list. */
-    public void fitSubset(double attemptsInFlight) {
+    private void fitSubset(double attemptsInFlight) {
         int before = subset.bucketCount();
         subset.fit(clock.now(), attemptsInFlight, (double) (members.size() - ejectedMembers()));
         if (subset.bucketCount() < before) {
--- /dev/null
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -0,0 +1,100 @@
+package quotagateway.policy.quota;
+
+import java.util.ArrayDeque;
+
+/**
+ * The units that a gateway has in hand for one customer (credits): leased from the counter, some of them only from a
+ * later time on, or taken from the gateway's share of the rate while the counter is away. The latter have to be reported
+ * to the counter once they are spent.
+ */
+final class CreditBalance {
+    /** Parts that fall due within this time are due: times are sums of rounded numbers. */
+    private static final double DUE_TOLERANCE_MS = 1e-6;
+
+    /** When each leased unit that is not there yet falls due, the earliest first. */
+    private final ArrayDeque<Double> dueTimes = new ArrayDeque<>();
+
+    private double credits;
+    private double unreported;
+    private double accruedAt;
+
+    CreditBalance(double initialCredits, double now) {
+        credits = initialCredits;
+        accruedAt = now;
+    }
+
+    /** Units that may be spent now; below 0 where units were spent on an estimate. */
+    double credits() {
+        return credits;
+    }
+
+    /** Credits that the counter has not been told of. */
+    double unreported() {
+        return unreported;
+    }
+
+    /** Leased units that fall due later. */
+    double scheduledUnits() {
+        return dueTimes.size();
+    }
+
+    /** When the share of the rate was last given out. */
+    double accruedAt() {
+        return accruedAt;
+    }
+
+    void setAccruedAt(double now) {
+        accruedAt = now;
+    }
+
+    /** Adds leased units. */
+    void add(double units) {
+        credits += units;
+    }
+
+    /** A leased unit becomes a credit at this time; later ones have to be scheduled later. */
+    void schedule(double dueAt) {
+        dueTimes.add(dueAt);
+    }
+
+    /** Makes credits of the leased units that have fallen due. */
+    void collectDue(double now) {
+        while (!dueTimes.isEmpty() && dueTimes.peek() <= now + DUE_TOLERANCE_MS) {
+            dueTimes.poll();
+            credits++;
+        }
+    }
+
+    /** Adds units of a quota that no other gateway shares, as long as credits stay below a bound. */
+    void accrue(double units, double maxCredits) {
+        credits += Math.max(0, Math.min(maxCredits - credits, units));
+    }
+
+    /** As {@link #accrue}, for units that have to be reported once they are spent. */
+    void accrueUnreported(double units, double maxCredits) {
+        double before = credits;
+        double accrued = Math.max(0, Math.min(maxCredits - before, units));
+        credits += accrued;
+        unreported += accrued;
+    }
+
+    /** Takes credits back that are returned to the counter. */
+    void giveBack(double units) {
+        credits -= units;
+    }
+
+    /**
+     * Spends units, leased ones first.
+     *
+     * @return how many of them have to be reported to the counter, 0 for none
+     */
+    double spend(double units) {
+        credits -= units;
+        double toReport = Math.max(0, unreported - credits);
+        if (toReport > 0) {
+            unreported = Math.max(0, Math.min(unreported, credits));
+            credits = Math.max(0, credits);
+        }
+        return toReport;
+    }
+}
--- a/src/main/java/quotagateway/policy/quota/FifoMultimap.java
+++ b/src/main/java/quotagateway/policy/quota/FifoMultimap.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /** Values of a key in the order in which they came; a key with none is forgotten. */
-public final class FifoMultimap<K, V> {
+final class FifoMultimap<K, V> {
     private final Map<K, ArrayDeque<V>> queues = new HashMap<>();
 
-    public void add(K key, V value) {
+    void add(K key, V value) {
         queues.computeIfAbsent(key, k -> new ArrayDeque<>()).add(value);
     }
 
     /** Takes the oldest value of this key, or null. */
-    public V poll(K key) {
+    V poll(K key) {
         ArrayDeque<V> queue = queues.get(key);
         if (queue == null) {
             return null;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/quota/GrantEstimator.java
@@ -0,0 +1,52 @@
+package quotagateway.policy.quota;
+
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.statistics.Ewma;
+import quotagateway.policy.traffic.SendRateLimiter;
+
+/** How much of what one customer asks for is inside its quota, by the counter's last replies. */
+final class GrantEstimator {
+    /** There are few replies, and the last one says most. */
+    private static final double WEIGHT = 1.0 / 2;
+    /** Worth that is lost by a request beyond the quota at the least, or nothing would ever be held back. */
+    private static final double MAX_EXCESS_WEIGHT = 0.99;
+
+    private final QuotaPlan plan;
+    private final SendRateLimiter limiter;
+    private final Ewma usualGrant;
+    private final Ewma grant;
+
+    /** @param usualGrant that of all customers, where this one begins */
+    GrantEstimator(QuotaPlan plan, SendRateLimiter limiter, Ewma usualGrant) {
+        this.plan = plan;
+        this.limiter = limiter;
+        this.usualGrant = usualGrant;
+        grant = new Ewma(WEIGHT, usualGrant.value());
+    }
+
+    /** This part of a claim was granted, from 0 to 1. */
+    void recordClaim(double granted) {
+        grant.add(granted);
+        usualGrant.add(granted);
+    }
+
+    /** A try for a slot has succeeded or not. */
+    void recordSlot(boolean granted) {
+        grant.add(granted ? 1 : 0);
+    }
+
+    /** Whether more than half of what is claimed is granted. */
+    boolean isMostlyGranted() {
+        return grant.value() > 0.5;
+    }
+
+    /**
+     * Whether to admit a request without asking earns more than it costs: by the plan's prices of a request beyond the
+     * quota, and where endpoints are not pressed.
+     */
+    boolean paysToAdmitUnasked() {
+        double cost = plan.excessCost();
+        double breakEven = cost / (1 + cost - Math.min(plan.excessWeight(), MAX_EXCESS_WEIGHT));
+        return limiter.isAboveDemand() && grant.value() > breakEven;
+    }
+}
--- a/src/main/java/quotagateway/policy/retry/AttemptHistory.java
+++ b/src/main/java/quotagateway/policy/retry/AttemptHistory.java
@@ -38,6 +38,11 @@
         return attempts.get(number);
     }
 
+    /** Whether there is an attempt of this number that has not ended. */
+    public boolean isInFlight(int number) {
+        return number >= 0 && number < attempts.size() && attempts.get(number).isInFlight();
+    }
+
     /** The attempt that was sent last. */
     public Attempt last() {
         return attempts.get(attempts.size() - 1);
--- a/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
+++ b/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
@@ -61,6 +61,11 @@
         return ratePerSecond;
     }
 
+    /** Whether all that is asked for may be sent: endpoints are not pressed. */
+    public boolean isAboveDemand() {
+        return ratePerSecond >= traffic.requestsPerSecond();
+    }
+
     /** Before there are measured rates: allows what so many endpoints bear, for this gateway's part. */
     public void startWith(long endpoints) {
         ratePerSecond = Math.max(
