--- a/src/main/java/quotagateway/simulator/MalformedInputException.java
+++ b/src/main/java/quotagateway/simulator/MalformedInputException.java
@@ -4,7 +4,7 @@
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedInputException(String message) {
-        super(message);
+    MalformedInputException(long lineNumber, String field, String problem) {
+        super("line " + lineNumber + ", field " + field + ": " + problem);
     }
 }
