--- a/src/main/java/quotagateway/policy/admission/CustomerQueue.java
+++ b/src/main/java/quotagateway/policy/admission/CustomerQueue.java
@@ -6,8 +6,10 @@
 
 /** The requests of one customer: those that wait, in the order of how soon they are of no use, and those in flight. */
 final class CustomerQueue implements QuotaDemand {
-    private final TreeSet<PendingRequest> waiting = new TreeSet<>(
-            Comparator.comparingDouble(PendingRequest::usefulUntil).thenComparingLong(PendingRequest::serial));
+    private static final Comparator<PendingRequest> SOONEST_USELESS_FIRST =
+            Comparator.comparingDouble(PendingRequest::usefulUntil).thenComparingLong(PendingRequest::serial);
+
+    private final TreeSet<PendingRequest> waiting = new TreeSet<>(SOONEST_USELESS_FIRST);
     private double queuedUnits;
     private int attemptsInFlight;
     private double rejectRetriesUntil;
--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -13,7 +13,7 @@
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
     /** By identity: the settings have one object for each class, whose hash would cost more than the look-up. */
-    private final IdentityHashMap<RequestClass, DecayingValue> failureShares = new IdentityHashMap<>();
+    private final IdentityHashMap<RequestClass, DecayingValue> failureShares = new IdentityHashMap<>(1);
 
     /** The part of this class's attempts that fail, from 0 to 1. */
     public double failureShare(RequestClass requestClass, double now) {
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
@@ -18,7 +18,7 @@
     private final CustomerCounter counter;
     private final GrantEstimator grants;
     /** For each slot the epoch of the count that it was taken from, and has to be returned to. */
-    private final ArrayDeque<Long> slotEpochs = new ArrayDeque<>();
+    private final ArrayDeque<Long> slotEpochs = new ArrayDeque<>(1); // empty on most plans
 
     private long triedEpoch;
 
--- a/src/main/java/quotagateway/policy/quota/CreditBalance.java
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -12,7 +12,7 @@
     private static final double DUE_TOLERANCE_MS = 1e-6;
 
     /** When each leased unit that is not there yet falls due, the earliest first. */
-    private final ArrayDeque<Double> dueTimes = new ArrayDeque<>();
+    private final ArrayDeque<Double> dueTimes = new ArrayDeque<>(1); // empty for most customers
 
     private double credits;
     private double unreported;
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -51,7 +51,7 @@
         grants = new GrantEstimator(plan, context.limiter(), context.usualGrant());
         lease = new QuotaLease(holder, context, demand, counter, balance, estimate, share, grants);
         openRequests = new ConcurrencyQuota(holder, context, demand, counter, grants);
-        hardLimit = new HardLimit(holder, now);
+        hardLimit = HardLimit.of(holder, now);
     }
 
     // ---- admission ----
--- a/src/main/java/quotagateway/policy/quota/DemandEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/DemandEstimator.java
@@ -2,14 +2,12 @@
 
 import static quotagateway.policy.statistics.Ewma.FAST_EWMA_WEIGHT;
 
-import quotagateway.policy.statistics.Ewma;
-
 /** How many units one customer usually asks for in a re-split period. */
 final class DemandEstimator {
     /** Below this a customer counts as idle: about one unit in ten periods. */
     private static final double IDLE_UNITS = 0.1;
 
-    private final Ewma unitsPerPeriod = new Ewma(FAST_EWMA_WEIGHT, 0);
+    private double unitsPerPeriod;
     private double unitsInPeriod;
 
     void onRequest(double units) {
@@ -18,15 +16,15 @@
 
     /** Called at every re-split. */
     void endPeriod() {
-        unitsPerPeriod.add(unitsInPeriod);
+        unitsPerPeriod += (unitsInPeriod - unitsPerPeriod) * FAST_EWMA_WEIGHT;
         unitsInPeriod = 0;
     }
 
     double unitsPerPeriod() {
-        return unitsPerPeriod.value();
+        return unitsPerPeriod;
     }
 
     boolean isIdle() {
-        return unitsPerPeriod() < IDLE_UNITS;
+        return unitsPerPeriod < IDLE_UNITS;
     }
 }
--- a/src/main/java/quotagateway/policy/quota/DriftDetector.java
+++ b/src/main/java/quotagateway/policy/quota/DriftDetector.java
@@ -1,5 +1,7 @@
 package quotagateway.policy.quota;
 
+import quotagateway.policy.timer.ResplitSchedule;
+
 /**
  * Compares what a total on the counter shows as left of a quota with what can be left. They drift apart: idle time fills
  * the total's allowance beyond the burst, a name is new or was lost by the counter, and calls that were taken as not
@@ -8,6 +10,8 @@
 final class DriftDetector {
     /** Drift up to this part of the burst is left alone. */
     private static final double TOLERATED_PART_OF_BURST = 1.0 / 8;
+    /** Missing units are given so long to come back: a claim that is cut is returned at once. */
+    private static final double LOSS_CONFIRMED_AFTER_MS = ResplitSchedule.PERIOD_MS;
     /** Totals that fell by more than this part of the burst were lost. */
     private static final double LOST_PART_OF_BURST = 1.0 / 2;
 
@@ -30,26 +34,15 @@
     }
 
     private final QuotaHolder holder;
-    private final double lowestLevel;
-    private final double lossConfirmedAfterMs;
-    private final double turnMs;
+    private final QuotaContext context;
     private boolean totalSuspect;
     private double driftingSince = Double.MAX_VALUE;
     private long lastEpoch = Long.MIN_VALUE;
     private double lastTotal;
 
-    /**
-     * Makes the detector of one customer.
-     *
-     * @param lowestLevel how far below 0 the level can be, by units that were claimed before they were there
-     * @param lossConfirmedAfterMs missing units are given so long to come back
-     * @param turnMs with a suspect total each gateway waits so long for each one before it to correct it
-     */
-    DriftDetector(QuotaHolder holder, double lowestLevel, double lossConfirmedAfterMs, double turnMs) {
+    DriftDetector(QuotaHolder holder, QuotaContext context) {
         this.holder = holder;
-        this.lowestLevel = lowestLevel;
-        this.lossConfirmedAfterMs = lossConfirmedAfterMs;
-        this.turnMs = turnMs;
+        this.context = context;
     }
 
     /**
@@ -71,9 +64,9 @@
 
     /** How far a reading is from what can be left, which is between the lowest level and {@code most}. */
     Drift assess(double reading, double most, double now) {
-        double units = reading - Math.max(lowestLevel, Math.min(reading, most));
+        double units = reading - Math.max(lowestLevel(), Math.min(reading, most));
         boolean significant = Math.abs(units) > holder.plan().burst() * TOLERATED_PART_OF_BURST;
-        double delay = units < 0 ? lossConfirmedAfterMs : totalSuspect ? holder.position() * turnMs : 0;
+        double delay = units < 0 ? LOSS_CONFIRMED_AFTER_MS : totalSuspect ? turnDelayMs() : 0;
         driftingSince = significant ? Math.min(driftingSince, now) : Double.MAX_VALUE;
         totalSuspect &= significant;
         boolean toBeCorrected = significant && now >= driftingSince + delay;
@@ -83,6 +76,11 @@
         return new Drift(units, significant, toBeCorrected);
     }
 
+    /** Where all find the same total suspect, one corrects it first, and the others see that in its turn. */
+    private double turnDelayMs() {
+        return holder.position() * context.settings().capabilities().counterTimeout();
+    }
+
     /** What the total will be once this gateway's returns and corrections are added. */
     void setLastTotal(long epoch, double total) {
         lastEpoch = epoch;
@@ -103,7 +101,8 @@
         return lastTotal;
     }
 
+    /** How far below 0 the level can be, by units that were claimed before they were there. */
     double lowestLevel() {
-        return lowestLevel;
+        return -holder.unitsPerMs() * context.objectives().longestMs();
     }
 }
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -7,33 +7,47 @@
  * part of it as a token bucket of its own, rounded down and empty at the start.
  */
 final class HardLimit {
-    private final QuotaPlan plan;
+    private static final HardLimit NONE = new HardLimit(0, 0, null);
+
+    private final double rate;
     private final int gatewayCount;
+    /** Null where there is no limit. */
     private final TokenBucket bucket;
 
-    HardLimit(QuotaHolder holder, double now) {
-        plan = holder.plan();
-        gatewayCount = holder.gatewayCount();
-        double burst = Math.floor(plan.ceilingBurst() / gatewayCount);
-        bucket = new TokenBucket(burst, plan.ceilingRate() / gatewayCount / 1000, now);
-        bucket.set(0, now);
+    private HardLimit(double rate, int gatewayCount, TokenBucket bucket) {
+        this.rate = rate;
+        this.gatewayCount = gatewayCount;
+        this.bucket = bucket;
+    }
+
+    /** This gateway's part of the plan's hard limit, if it has one. */
+    static HardLimit of(QuotaHolder holder, double now) {
+        QuotaPlan plan = holder.plan();
+        if (plan.ceilingRate() <= 0) {
+            return NONE;
+        }
+        double burst = Math.floor(plan.ceilingBurst() / holder.gatewayCount());
+        return new HardLimit(plan.ceilingRate(), holder.gatewayCount(), new TokenBucket(burst, 0, now));
     }
 
     /** Whether the plan has a hard limit. */
     boolean exists() {
-        return plan.ceilingRate() > 0;
+        return bucket != null;
     }
 
     /** Whether so many units may be spent now. */
     boolean allows(double units, double now) {
-        if (!exists()) {
+        if (bucket == null) {
             return true;
         }
-        bucket.refill((now - bucket.updatedAt()) / 1000 * plan.ceilingRate() / gatewayCount, now);
-        return bucket.lastLevel() >= units;
+        bucket.refill((now - bucket.updatedAt()) / 1000 * rate / gatewayCount, now);
+        return bucket.level() >= units;
     }
 
+    /** Takes units off. */
     void spend(double units) {
-        bucket.take(units);
+        if (bucket != null) {
+            bucket.take(units);
+        }
     }
 }
--- a/src/main/java/quotagateway/policy/quota/QuotaLease.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLease.java
@@ -59,11 +59,7 @@
         this.estimate = estimate;
         this.share = share;
         this.grants = grants;
-        drift = new DriftDetector(
-                holder,
-                -holder.unitsPerMs() * context.objectives().longestMs(),
-                ResplitSchedule.PERIOD_MS,
-                context.settings().capabilities().counterTimeout());
+        drift = new DriftDetector(holder, context);
     }
 
     /** Units were spent that the total does not hold, or, below 0, fewer than it holds. Told with the next claim. */
@@ -213,7 +209,7 @@
         double correction = claim.correction;
         if (outcome == CallOutcome.OK
                 && correction > 0
-                && filledSince(claim.epoch) - total < Math.max(0, estimate.lastLevel()) - correction / 2) {
+                && filledSince(claim.epoch) - total < Math.max(0, estimate.lastAtMost()) - correction / 2) {
             returnUnits(claim.epoch, correction);
         }
     }
--- a/src/main/java/quotagateway/policy/quota/ShareCalculator.java
+++ b/src/main/java/quotagateway/policy/quota/ShareCalculator.java
@@ -2,7 +2,6 @@
 
 import static quotagateway.policy.statistics.Ewma.FAST_EWMA_WEIGHT;
 
-import quotagateway.policy.statistics.DecayingValue;
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
@@ -16,14 +15,18 @@
     private static final double EVEN_PART_OF_BURST = 1.0 / 8;
 
     private final QuotaHolder holder;
-    private final DecayingValue ownUnits;
-    private final DecayingValue allUnits;
+    /** Units that this gateway has taken, old ones counting less and less. */
+    private double ownUnits;
+    /** Units that all gateways have taken, likewise. */
+    private double allUnits;
+    /** When these were last counted. */
+    private double countedAt;
+
     private double share;
 
     ShareCalculator(QuotaHolder holder, double now) {
         this.holder = holder;
-        ownUnits = new DecayingValue(0, USE_HALF_LIFE_MS, now);
-        allUnits = new DecayingValue(0, USE_HALF_LIFE_MS, now);
+        countedAt = now;
         share = evenShare();
     }
 
@@ -34,7 +37,7 @@
 
     /** What the other gateways took for each millisecond, by the readings so far. */
     double othersUnitsPerMs() {
-        return (allUnits.lastValue() - ownUnits.lastValue()) * Math.log(2) / USE_HALF_LIFE_MS;
+        return (allUnits - ownUnits) * Math.log(2) / USE_HALF_LIFE_MS;
     }
 
     /**
@@ -47,10 +50,12 @@
     void record(double own, double all, double lastReadAt, double now) {
         double burst = holder.plan().burst();
         double most = own + burst + holder.unitsPerMs() * (now - lastReadAt);
-        ownUnits.add(own, now);
-        allUnits.add(Math.max(own, Math.min(all, most)), now);
+        double kept = Math.pow(0.5, (now - countedAt) / USE_HALF_LIFE_MS);
+        ownUnits = ownUnits * kept + own;
+        allUnits = allUnits * kept + Math.max(own, Math.min(all, most));
+        countedAt = now;
         double even = burst * EVEN_PART_OF_BURST;
-        share = (ownUnits.lastValue() + even / holder.gatewayCount()) / (allUnits.lastValue() + even);
+        share = (ownUnits + even / holder.gatewayCount()) / (allUnits + even);
     }
 
     /** While nothing is read the share moves to the even one: requests may come to other gateways than before. */
--- a/src/main/java/quotagateway/policy/quota/TokenBucket.java
+++ b/src/main/java/quotagateway/policy/quota/TokenBucket.java
@@ -1,56 +1,33 @@
 package quotagateway.policy.quota;
 
-/**
- * A level that refills at a rate up to a burst. Unlike a textbook bucket it may be set to what was read elsewhere, and
- * below 0 where units were taken before they were there.
- */
+/** A level that is refilled up to a burst, and remembers when. */
 final class TokenBucket {
     private final double burst;
-    private final double unitsPerMs;
     private double level;
     private double updatedAt;
 
-    /** A full bucket. */
-    TokenBucket(double burst, double unitsPerMs, double now) {
+    TokenBucket(double burst, double level, double now) {
         this.burst = burst;
-        this.unitsPerMs = unitsPerMs;
-        set(burst, now);
-    }
-
-    double levelAt(double now) {
-        return levelAt(now, unitsPerMs);
-    }
-
-    /** The level if it has refilled at another rate. */
-    double levelAt(double now, double refillPerMs) {
-        return Math.min(burst, level + refillPerMs * (now - updatedAt));
-    }
-
-    /** The level so long after its last update, were there no burst to bound it. */
-    double unboundedLevelAfter(double elapsedMs) {
-        return level + unitsPerMs * elapsedMs;
+        this.level = level;
+        updatedAt = now;
     }
 
-    /** The level as of its last update. */
-    double lastLevel() {
+    /** The level as of the last refill, less what was taken since. */
+    double level() {
         return level;
     }
 
+    /** When it was refilled last. */
     double updatedAt() {
         return updatedAt;
     }
 
-    void set(double newLevel, double now) {
-        level = newLevel;
-        updatedAt = now;
-    }
-
-    /** Adds units, up to the burst. */
+    /** Adds what has come since the last refill, up to the burst. */
     void refill(double units, double now) {
-        set(Math.min(burst, level + units), now);
+        level = Math.min(burst, level + units);
+        updatedAt = now;
     }
 
-    /** Takes units off the level as it stands. */
     void take(double units) {
         level -= units;
     }
--- a/src/main/java/quotagateway/policy/statistics/DecayingValue.java
+++ b/src/main/java/quotagateway/policy/statistics/DecayingValue.java
@@ -33,11 +33,6 @@
         updatedAt = now;
     }
 
-    /** Adds to the decayed value. */
-    public void add(double amount, double now) {
-        set(valueAt(now) + amount, now);
-    }
-
     /** Back to the resting value. */
     public void reset() {
         value = restingValue;
