--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -58,7 +58,9 @@
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-    /** The node with its clock, the network, the agent, and a policy that repeats calls itself where it asks for lists. */
+    /**
+     * The node with its clock, the network, the agent, and a policy that repeats calls itself where it asks for lists.
+     */
     public static final class World implements EventLoopContext, DiscoveryListener, Connector {
         private record Task(double due, long number, Runnable what) {}
 
@@ -155,7 +157,9 @@
             return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
         }
 
-        /** Text again and again, as long as the connection stands; a watch that has answered falls silent when told to. */
+        /**
+         * Text again and again, as long as the connection stands; a watch that has answered falls silent when told to.
+         */
         private void keep(EmbeddedChannel c, double every, String text) {
             schedule(every, () -> {
                 if (c.isOpen() && !(silent && every == KEEP_ALIVE_MS)) {
--- a/src/test/java/quotagateway/discovery/EndpointListParserTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListParserTest.java
@@ -192,7 +192,9 @@
         assertThrows(IOException.class, () -> read("{\"hosts\":" + "[".repeat(100), 8192), "nested too deep");
     }
 
-    /** The list may stand in front of all other members of the file or behind them; its text is never held as a whole. */
+    /**
+     * The list may stand in front of all other members of the file or behind them; its text is never held as a whole.
+     */
     @Test
     void savedListIsReadFromTheConfigurationFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
