--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -1,396 +1,220 @@
 package quotagateway.counter;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.handler.codec.redis.ErrorRedisMessage;
-import io.netty.handler.codec.redis.RedisMessage;
-import io.netty.handler.codec.redis.SimpleStringRedisMessage;
-import io.netty.util.ReferenceCountUtil;
-import java.math.BigDecimal;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
-import java.util.regex.Pattern;
 import quotagateway.policy.api.CallOutcome;
-import quotagateway.resp.RespCodec;
-import quotagateway.resp.RespFrameTracker;
+import quotagateway.transport.ConfiguredAddress;
+import quotagateway.transport.Connector;
 import quotagateway.transport.EventLoopContext;
-import quotagateway.transport.Transport;
-
-/** Calls to the shared counter over a few connections. A name keeps to one, so its answers stay in order. */
-@SuppressWarnings("ReferenceEquality") // an address object also names the configuration that it came from
+import quotagateway.transport.ExponentialBackoff;
+import quotagateway.transport.SocketConnector;
+
+/**
+ * Calls to the shared counter over a few connections. A name keeps to one connection, so the replies to its calls come
+ * in the order of the calls. Each call ends with one outcome at the listener, after the counter's timeout at the
+ * latest. All methods are called on the event loop.
+ */
 public final class CounterClient {
-    private static final int LINES = 4;
-    private static final double CHECK = 200;
-    /** Silence (ms) until a check: shorter than the 10 s or less after which the counter ends idle ones. */
-    private static final double IDLE = 1000;
-    /** A line that owes an answer for longer (ms) may be dead: what is lost with it has been told. */
-    private static final double DEAD = 400;
-
-    private static final int CONNECT = 1500;
-    /**
-     * Wait (ms) before the next connect, up to twice as long each time in a row, drawn, so that not all nodes
-     * come at once. It is short against the silence after which the module asks again by itself.
-     */
-    private static final double RECONNECT = 100;
-
-    private static final double RECONNECT_MOST = 800;
-    private static final int MOST_ELEMENTS = 4;
-    private static final double LONGEST_LIFE = 60_000;
-
-    /** A total in decimal, no longer than a double can hold. */
-    private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?(e[+-]?[0-9]{1,2})?");
+    private static final int CONNECTIONS = 4;
+    private static final int CONNECT_TIMEOUT_MS = 1500;
+    /** How often (ms) connections are checked for life. */
+    private static final double CHECK_INTERVAL_MS = 200;
 
     private final EventLoopContext loop;
     private final CounterListener listener;
-    private final double limit;
+    private final Connector connector;
+    private final double timeoutMs;
     private final SplittableRandom random;
-    private final Bootstrap bootstrap;
-    private final Line[] lines = new Line[LINES];
-    /** The lines to a new address, until each can take over from the old one. */
-    private final Line[] coming = new Line[LINES];
+    private final CounterConnection[] connections = new CounterConnection[CONNECTIONS];
+    /** Connections to a new address, each until it takes the place of the one to the old address. */
+    private final CounterConnection[] successors = new CounterConnection[CONNECTIONS];
+    /** Calls in the order in which they time out, until they are completed and at the front. */
+    private final ArrayDeque<PendingCall> timeouts = new ArrayDeque<>();
 
-    private InetSocketAddress address;
-    private final ArrayDeque<Call> untold = new ArrayDeque<>();
-    private boolean armed;
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
+    private ConfiguredAddress address;
+    private boolean timeoutTimerRunning;
 
-    /** One call, from the action to its answer; told once the module has had its outcome. */
-    private static final class Call {
-        final long name;
-        final double sent;
-        final boolean ping;
-        final Line line;
-        boolean written;
-        boolean told;
-
-        Call(Line line, long name, double sent, boolean ping) {
-            this.line = line;
-            this.name = name;
-            this.sent = sent;
-            this.ping = ping;
-            told = ping;
-        }
-    }
-
+    /**
+     * Makes a client that is idle until {@link #start}; its connections are on the group's loop.
+     *
+     * @param address where the counter listens; null for none, until {@link #reconnectTo} names one
+     * @param timeoutMs how long a call may take
+     */
     public CounterClient(
             EventLoopContext loop,
             CounterListener listener,
             EventLoopGroup group,
             InetSocketAddress address,
-            double limit,
+            double timeoutMs,
+            long seed) {
+        this(loop, listener, new SocketConnector(group, CONNECT_TIMEOUT_MS), address, timeoutMs, seed);
+    }
+
+    CounterClient(
+            EventLoopContext loop,
+            CounterListener listener,
+            Connector connector,
+            InetSocketAddress address,
+            double timeoutMs,
             long seed) {
         this.loop = loop;
         this.listener = listener;
+        this.connector = connector;
+        this.address = ConfiguredAddress.initial(address);
+        this.timeoutMs = timeoutMs;
         random = new SplittableRandom(seed);
-        this.address = address;
-        this.limit = limit;
-        bootstrap = new Bootstrap()
-                .group(group)
-                .channel(Transport.socket())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT);
         if (address == null) {
             ready.complete(null);
         }
     }
 
+    /** Completes when all connections are up, or at once where no counter is configured. */
+    public CompletableFuture<Void> ready() {
+        return ready;
+    }
+
+    /** Opens the connections, where a counter is configured. */
     public void start() {
-        if (address != null) {
-            for (int i = 0; i < LINES; i++) {
-                lines[i] = new Line(address);
-                lines[i].connect();
+        if (address.address() != null) {
+            for (int i = 0; i < CONNECTIONS; i++) {
+                connections[i] = new CounterConnection(loop, this, address);
             }
-            loop.schedule(CHECK, this::check);
+            for (CounterConnection connection : connections) {
+                connection.connect();
+            }
+            loop.schedule(CHECK_INTERVAL_MS, this::checkConnections);
         }
     }
 
-    /** A new address: the old lines serve until the new ones are up; what is out may be answered. */
-    public void reconnectTo(InetSocketAddress to) {
-        if (to == null || to.equals(address)) {
+    /**
+     * Moves to another counter; null changes nothing. The connections to the old one serve until the new ones are up,
+     * and what was called on them may still be answered.
+     */
+    public void reconnectTo(InetSocketAddress newAddress) {
+        if (newAddress == null || newAddress.equals(address.address())) {
             return;
         }
-        boolean first = address == null;
-        address = to;
+        boolean first = address.address() == null;
+        address = address.replacedBy(newAddress);
         if (first) {
             start();
             return;
         }
-        for (int i = 0; i < LINES; i++) {
-            if (coming[i] != null && coming[i].channel != null) {
-                coming[i].channel.close();
+        for (int i = 0; i < CONNECTIONS; i++) {
+            if (successors[i] != null) {
+                successors[i].close();
             }
-            coming[i] = new Line(to);
-            coming[i].connect();
+            successors[i] = new CounterConnection(loop, this, address);
+            successors[i].connect();
         }
     }
 
-    /** A name's answers come in the order of its calls: so its line changes only with no call to be told. */
-    private Line line(int i) {
-        Line old = lines[i];
-        if (coming[i] != null
-                && coming[i].channel != null
-                && old.calls.stream().allMatch(c -> c.told)
-                && old.waiting.isEmpty()) {
-            lines[i] = coming[i];
-            coming[i] = null;
-            old.end();
-        }
-        return lines[i];
-    }
-
-    public CompletableFuture<Void> ready() {
-        return ready;
+    /**
+     * The connection to use at an index. Its successor takes over here, once that is up and no call on the old one
+     * waits for an outcome: the replies to a name's calls come in the order of the calls.
+     */
+    private CounterConnection connectionAt(int index) {
+        CounterConnection successor = successors[index];
+        if (successor != null && successor.isConnected() && !connections[index].hasOpenCalls()) {
+            CounterConnection replaced = connections[index];
+            connections[index] = successor;
+            successors[index] = null;
+            replaced.closeAfterReplies();
+        }
+        return connections[index];
     }
 
-    public void add(long name, double amount, double keepFor) {
-        Line line = address == null ? null : line((int) Math.floorMod(name, (long) LINES));
-        if (line == null || (line.channel == null && !line.connecting)) {
+    /**
+     * Adds an amount to a name on the counter. The outcome comes to the listener, never before this method returns.
+     *
+     * @param keepForMs how long the counter keeps the name, where this call creates it
+     */
+    public void add(long name, double amount, double keepForMs) {
+        CounterConnection connection =
+                address.address() == null ? null : connectionAt((int) Math.floorMod(name, (long) CONNECTIONS));
+        if (connection == null || !connection.acceptsCalls()) {
             loop.execute(() -> listener.onCounterReply(name, CallOutcome.NO_CONNECTION, 0, 0));
             return;
         }
-        Call call = new Call(line, name, loop.now(), false);
-        long life = (long) Math.max(1, Math.min(LONGEST_LIFE, keepFor));
-        String[] words = {"CNT.ADD", Long.toString(name), plain(amount), Long.toString(life)};
-        if (line.channel == null) {
-            line.waiting.put(call, words); // a line that broke is back in about a round trip
-        } else {
-            line.write(call, words);
+        PendingCall call = PendingCall.add(connection, name, loop.now(), CounterProtocol.add(name, amount, keepForMs));
+        connection.send(call);
+        timeouts.add(call);
+        if (!timeoutTimerRunning) {
+            timeoutTimerRunning = true;
+            loop.schedule(timeoutMs, this::expireCalls);
         }
-        untold.add(call);
-        if (!armed) {
-            armed = true;
-            loop.schedule(limit, this::expire);
-        }
-    }
-
-    private static String plain(double amount) {
-        return BigDecimal.valueOf(Math.rint(amount * 1000) / 1000)
-                .stripTrailingZeros()
-                .toPlainString();
     }
 
-    /** One timer for all calls, as the limit is one: else answered ones would wake the loop once more. */
-    private void expire() {
-        while (!untold.isEmpty() && (untold.peek().told || untold.peek().sent + limit <= loop.now())) {
-            Call call = untold.poll();
-            if (!call.told && call.line.channel != null && call.line.raw.pendingBytes != 0) {
-                call.line.spoilt(); // half an answer, and no more of it
+    /** One timer serves all calls, as they have one timeout: with one each, replies would wake the loop once more. */
+    private void expireCalls() {
+        while (!timeouts.isEmpty() && (timeouts.peek().isCompleted() || isExpired(timeouts.peek()))) {
+            PendingCall call = timeouts.poll();
+            CounterConnection connection = call.connection();
+            if (!call.isCompleted() && connection.hasPartialReply()) {
+                connection.failReplies(); // part of a reply, and no more of it
             }
-            tell(call, call.line.waiting.remove(call) == null ? CallOutcome.TIMEOUT : CallOutcome.NO_CONNECTION, 0);
+            complete(call, connection.removeQueued(call) ? CallOutcome.NO_CONNECTION : CallOutcome.TIMEOUT);
         }
-        armed = !untold.isEmpty();
-        if (armed) {
-            loop.schedule(untold.peek().sent + limit - loop.now(), this::expire);
+        timeoutTimerRunning = !timeouts.isEmpty();
+        if (timeoutTimerRunning) {
+            loop.schedule(timeouts.peek().sentAt() + timeoutMs - loop.now(), this::expireCalls);
         }
     }
 
-    private void tell(Call call, CallOutcome outcome, double total) {
-        if (!call.told) {
-            call.told = true;
-            listener.onCounterReply(call.name, outcome, loop.now() - call.sent, total);
-        }
+    private boolean isExpired(PendingCall call) {
+        return call.sentAt() + timeoutMs <= loop.now();
     }
 
-    private void check() {
-        loop.schedule(CHECK, this::check);
-        for (int i = 0; i < LINES; i++) {
-            Line line = line(i);
-            if (line.channel != null) {
-                Call oldest = line.calls.peek();
-                if (oldest != null && loop.now() - oldest.sent > DEAD) {
-                    line.channel.close();
-                } else if (loop.now() - line.usedAt > IDLE) {
-                    line.write(new Call(line, 0, loop.now(), true), "PING");
-                }
-            }
+    private void checkConnections() {
+        loop.schedule(CHECK_INTERVAL_MS, this::checkConnections);
+        for (int i = 0; i < CONNECTIONS; i++) {
+            connectionAt(i).checkLiveness();
         }
     }
 
-    private final class Line {
-        private final InetSocketAddress at;
-        private final ArrayDeque<Call> calls = new ArrayDeque<>();
-        /** Calls made while the line is coming up, in their order. */
-        private final Map<Call, String[]> waiting = new LinkedHashMap<>();
-
-        private boolean connecting;
-        private Channel channel;
-        /** Ends in a row with nothing answered before: only behind the first the next line comes at once. */
-        private int ends;
-
-        private double backoff;
-        private double usedAt;
-        private boolean ending;
-        private RespFrameTracker raw;
-
-        Line(InetSocketAddress at) {
-            this.at = at;
-        }
+    // ---- for the connections ----
 
-        /** Left for a new address: it closes once nothing is owed on it. */
-        void end() {
-            ending = true;
-            if (channel != null && calls.isEmpty()) {
-                channel.close();
-            }
-        }
-
-        /**
-         * The oldest call's answer has no number in it: its amount was added. What comes behind can be told
-         * apart no more, and a new line takes its place at once.
-         */
-        void spoilt() {
-            if (!calls.isEmpty()) {
-                tell(calls.poll(), CallOutcome.ERROR, 0);
-            }
-            broken();
-            channel.close();
-        }
+    Connector connector() {
+        return connector;
+    }
 
-        private void broken() {
-            for (Call call = calls.poll(); call != null; call = calls.poll()) {
-                tell(call, call.written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
-            }
-        }
+    /** Whether an address is that of the newest configuration. */
+    boolean isCurrent(ConfiguredAddress candidate) {
+        return address.isSameGeneration(candidate);
+    }
 
-        void connect() {
-            if (at != address) {
-                return; // left meanwhile
-            }
-            connecting = true;
-            ChannelFuture connected = bootstrap
-                    .clone()
-                    .handler(new ChannelInitializer<SocketChannel>() {
-                        @Override
-                        protected void initChannel(SocketChannel channel) {
-                            raw = RespCodec.codec(channel.pipeline(), MOST_ELEMENTS);
-                            channel.pipeline().addLast(new Answers());
-                        }
-                    })
-                    .connect(at);
-            connected.addListener(f -> {
-                connecting = false;
-                Map<Call, String[]> held = new LinkedHashMap<>(waiting);
-                waiting.clear();
-                if (f.isSuccess()) {
-                    channel = connected.channel();
-                    usedAt = loop.now();
-                    held.forEach(this::write);
-                    loop.flush();
-                    for (Line line : lines) {
-                        if (line.channel == null) {
-                            return;
-                        }
-                    }
-                    ready.complete(null);
-                } else {
-                    held.forEach((call, words) -> tell(call, CallOutcome.NO_CONNECTION, 0));
-                    loop.flush();
-                    again();
-                }
-            });
-        }
+    /** The time (ms) until a connection is opened anew. */
+    double nextReconnectDelayMs(ExponentialBackoff backoff) {
+        return backoff.nextJitteredMs(random);
+    }
 
-        /** The next connect: one broken line is no sign that the counter is away. */
-        private void again() {
-            backoff = ends == 0 ? RECONNECT : Math.min(2 * backoff, RECONNECT_MOST);
-            if (ends++ == 0) {
-                loop.execute(this::connect);
-            } else {
-                loop.schedule(backoff * (1 + random.nextDouble()) / 2, this::connect);
+    /** A connection is up. */
+    void onConnected() {
+        for (CounterConnection connection : connections) {
+            if (!connection.isConnected()) {
+                return;
             }
         }
+        ready.complete(null);
+    }
 
-        void write(Call call, String... words) {
-            calls.add(call);
-            usedAt = call.sent;
-            channel.write(RespCodec.command(channel.alloc(), words)).addListener(f -> call.written = f.isSuccess());
-            loop.flushLater(channel);
-        }
-
-        private final class Answers extends ChannelInboundHandlerAdapter {
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                try {
-                    raw.onMessageComplete((RedisMessage) msg);
-                    ends = 0;
-                    Call call = calls.poll(); // late or not: each answer belongs to the oldest call
-                    if (call == null) {
-                        ctx.close();
-                        return;
-                    }
-                    if (!answered(call, (RedisMessage) msg)) {
-                        calls.addFirst(call);
-                        spoilt();
-                    }
-                    if (ending && calls.isEmpty()) {
-                        ctx.close();
-                    }
-                } finally {
-                    ReferenceCountUtil.release(msg);
-                }
-            }
-
-            /**
-             * Tells an answer; false where it is none. The amount was added then, and what comes behind it on
-             * the line cannot be trusted. A total that is not finite would stay in the module's credits.
-             */
-            private boolean answered(Call call, RedisMessage msg) {
-                if (call.ping) {
-                    return msg instanceof SimpleStringRedisMessage;
-                }
-                if (msg instanceof ErrorRedisMessage error
-                        && (error.content().startsWith("BUSY")
-                                || error.content().startsWith("ERR"))) {
-                    tell(call, CallOutcome.FULL, 0); // nothing was added
-                    return true;
-                }
-                String total = RespCodec.isValue(msg) ? RespCodec.text(msg) : "";
-                if (NUMBER.matcher(total).matches()) {
-                    tell(call, CallOutcome.OK, Double.parseDouble(total));
-                    return true;
-                }
-                return false;
-            }
-
-            @Override
-            public void channelReadComplete(ChannelHandlerContext ctx) {
-                loop.flush();
-            }
+    /** Ends a call without a total, unless it has an outcome already. */
+    void complete(PendingCall call, CallOutcome outcome) {
+        report(call, outcome, 0);
+    }
 
-            /** What was written may have been added. */
-            @Override
-            public void channelInactive(ChannelHandlerContext ctx) {
-                channel = null;
-                broken();
-                again();
-                loop.flush();
-            }
+    /** Ends a call with the new total of its name, unless it has an outcome already. */
+    void completeWithTotal(PendingCall call, double total) {
+        report(call, CallOutcome.OK, total);
+    }
 
-            /**
-             * What the codec says behind the end of a connection (half an array is left) is not the next
-             * one's: it would take the oldest call there for spoilt and end that line too.
-             */
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                if (ctx.channel() != channel) {
-                    return;
-                }
-                if (!(cause instanceof java.io.IOException)) {
-                    loop.logFailure("counter", cause);
-                    spoilt();
-                }
-                ctx.close();
-            }
+    private void report(PendingCall call, CallOutcome outcome, double total) {
+        if (call.complete()) {
+            listener.onCounterReply(call.name(), outcome, loop.now() - call.sentAt(), total);
         }
     }
 }
--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -2,6 +2,7 @@
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
+import io.netty.channel.EventLoopGroup;
 import io.netty.handler.codec.http.HttpClientCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,7 +15,9 @@
 import quotagateway.log.NodeEvent;
 import quotagateway.log.NodeEvent.DiscoveryCall.Step;
 import quotagateway.transport.ConfiguredAddress;
+import quotagateway.transport.Connector;
 import quotagateway.transport.EventLoopContext;
+import quotagateway.transport.SocketConnector;
 
 /**
  * Keeps the list of endpoints up to date: it begins with the list that was saved, asks the discovery agent for the
@@ -27,6 +30,13 @@
     private static final long NO_VERSION = -1;
     /** How often (ms) the deadline of the connection is looked at. */
     private static final double CHECK_INTERVAL_MS = 100;
+    /**
+     * A connection that is not up by then has failed. The agent is on this machine: where the first packet is lost, a
+     * new connection is quicker than TCP's own repetition after 1 s.
+     */
+    static final int CONNECT_TIMEOUT_MS = 500;
+    /** A long list is read in pieces of this size, some 0.3 ms of parsing each, so that requests come between them. */
+    private static final int READ_SIZE_BYTES = 16 << 10;
 
     private enum State {
         /** There is no policy yet that could be given a list: calls are made from {@link #start} on. */
@@ -54,9 +64,13 @@
 
     private long version = NO_VERSION;
 
-    /** Makes a client that is idle until {@link #start}. */
+    /** Makes a client that is idle until {@link #start}; its connections are on the group's loop. */
     public DiscoveryClient(
-            EventLoopContext loop, DiscoveryListener listener, Connector connector, GatewayConfig config) {
+            EventLoopContext loop, DiscoveryListener listener, EventLoopGroup group, GatewayConfig config) {
+        this(loop, listener, new SocketConnector(group, CONNECT_TIMEOUT_MS).withReadSize(READ_SIZE_BYTES), config);
+    }
+
+    DiscoveryClient(EventLoopContext loop, DiscoveryListener listener, Connector connector, GatewayConfig config) {
         this.loop = loop;
         this.listener = listener;
         this.connector = connector;
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -31,7 +31,6 @@
 import quotagateway.counter.CounterListener;
 import quotagateway.discovery.DiscoveryClient;
 import quotagateway.discovery.DiscoveryListener;
-import quotagateway.discovery.SocketConnector;
 import quotagateway.lifecycle.CloseReason;
 import quotagateway.lifecycle.Invariant;
 import quotagateway.lifecycle.NodeState;
@@ -161,7 +160,7 @@
                 config.counterAddress(),
                 config.settings().capabilities().counterTimeout(),
                 config.seed());
-        discovery = new DiscoveryClient(this, this, new SocketConnector(group), config);
+        discovery = new DiscoveryClient(this, this, group, config);
         admin = new AdminServer(this, this);
         handover = new ProcessHandover(config.stateDirectory(), config.name());
         metrics = new Metrics(config.settings().requestClasses());
--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -30,6 +30,7 @@
 import quotagateway.config.Json;
 import quotagateway.node.NodeFixture;
 import quotagateway.policy.api.EndpointDescriptor;
+import quotagateway.transport.Connector;
 import quotagateway.transport.EventLoopContext;
 
 /** On a simulated clock and network: changes are heard of in time, whatever became of the calls before. */
@@ -135,7 +136,7 @@
             if (applied == CallFate.NO_CONNECTION || applied == CallFate.CONNECT_TIMEOUT) {
                 ChannelPromise promise = new EmbeddedChannel().newPromise();
                 schedule(
-                        applied == CallFate.CONNECT_TIMEOUT ? SocketConnector.CONNECT_TIMEOUT_MS : 0,
+                        applied == CallFate.CONNECT_TIMEOUT ? DiscoveryClient.CONNECT_TIMEOUT_MS : 0,
                         () -> promise.setFailure(new ConnectException()));
                 return promise;
             }
