--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -76,7 +76,7 @@
         try {
             return new ServerBootstrap()
                     .group(group)
-                    .channel(Transport.listener())
+                    .channel(Transport.serverSocketChannel())
                     .option(ChannelOption.SO_BACKLOG, BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .handler(new ChannelInitializer<ServerSocketChannel>() {
--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -98,10 +98,10 @@
     public SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
-                .channel(Transport.listener())
+                .channel(Transport.serverSocketChannel())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(Transport.shared(), true)
+                .option(Transport.reusePort(), true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, accepts())
                 .handler(new ChannelInitializer<ServerSocketChannel>() {
                     @Override
@@ -115,7 +115,7 @@
                                 .addLast(new Queue(), new AcceptFailureHandler(loop, ClientListener.this::accept));
                     }
                 })
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.toTheEnd())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.newReadToEndAllocator())
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNSENT / 2, UNSENT))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
--- a/src/main/java/quotagateway/client/ReadAhead.java
+++ b/src/main/java/quotagateway/client/ReadAhead.java
@@ -51,7 +51,7 @@
     }
 
     private final Shared shared;
-    private final int most = Transport.ahead();
+    private final int most = Transport.readAheadBytes();
     private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
     private ChannelHandlerContext ctx;
     private int bytes;
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -115,7 +115,7 @@
 
     private final GatewayConfig config;
     private final PolicyFactory policyFactory;
-    private final EventLoopGroup group = Transport.loop();
+    private final EventLoopGroup group = Transport.newEventLoop();
     private final long startedNanos = System.nanoTime();
     private final double startedMs = System.currentTimeMillis();
     private final LongObjectHashMap<ActiveRequest> requests = new LongObjectHashMap<>();
--- a/src/main/java/quotagateway/transport/AcceptFailureHandler.java
+++ b/src/main/java/quotagateway/transport/AcceptFailureHandler.java
@@ -5,17 +5,18 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * On a listener: with no descriptor left it accepts none for a while. The library's own answer is a line of
- * its log, whose date needs a file that cannot be opened then either: that error ended the event loop.
+ * In the pipeline of a listening channel: where accepting fails, for want of a descriptor, it accepts nothing for a
+ * while. Without it Netty would log the failure by itself, and the first line of its log reads a time zone from a file
+ * that cannot be opened then either; that error ended the event loop.
  */
 public final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
-    /** Until the next attempt (ms): connections end within some tens of it, and who waits is not answered. */
-    private static final double PAUSE = 100;
+    /** The pause (ms) until accepting is tried again: connections end within some tens of it, and clients wait. */
+    private static final double PAUSE_MS = 100;
 
     private final EventLoopContext loop;
     private final Runnable resume;
 
-    /** Resume is run after the pause: it decides whether connections are accepted again. */
+    /** Makes a handler that runs a task after the pause, which decides whether connections are accepted again. */
     public AcceptFailureHandler(EventLoopContext loop, Runnable resume) {
         this.loop = loop;
         this.resume = resume;
@@ -26,6 +27,6 @@
         Channel listener = ctx.channel();
         loop.logFailure("accept", cause);
         listener.config().setAutoRead(false);
-        loop.schedule(PAUSE, resume);
+        loop.schedule(PAUSE_MS, resume);
     }
 }
--- a/src/main/java/quotagateway/transport/EventLoopContext.java
+++ b/src/main/java/quotagateway/transport/EventLoopContext.java
@@ -20,9 +20,13 @@
     /** Marks a connection as written to: it is flushed at the end of this round. */
     void flushLater(Channel channel);
 
-    /** Flushes all connections that were marked since the last call. */
+    /** Flushes all connections that were marked since the last call; the node does so behind each task and read. */
     void flush();
 
-    /** Logs a failure with what it was for; a flood of them is cut short. */
+    /**
+     * Logs a failure; of a flood of them only the first are logged.
+     *
+     * @param operation what has failed, in a word or two
+     */
     void logFailure(String operation, Throwable cause);
 }
--- a/src/main/java/quotagateway/transport/PackedAddress.java
+++ b/src/main/java/quotagateway/transport/PackedAddress.java
@@ -5,7 +5,10 @@
 import java.net.UnknownHostException;
 import java.nio.ByteBuffer;
 
-/** Socket addresses in text and in one number. Addresses are numeric: nothing is looked up in DNS. */
+/**
+ * Converts socket addresses between text, objects and one number. Addresses are numeric, as the peers and the
+ * configuration name them; the JDK would look a name up in DNS, on the thread that calls.
+ */
 public final class PackedAddress {
     private static final int PORT_MASK = 0xffff;
 
--- a/src/main/java/quotagateway/transport/SocketConnector.java
+++ b/src/main/java/quotagateway/transport/SocketConnector.java
@@ -16,7 +16,7 @@
     public SocketConnector(EventLoopGroup group, int connectTimeoutMs) {
         bootstrap = new Bootstrap()
                 .group(group)
-                .channel(Transport.socket())
+                .channel(Transport.socketChannel())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
     }
 
--- a/src/main/java/quotagateway/transport/Transport.java
+++ b/src/main/java/quotagateway/transport/Transport.java
@@ -18,48 +18,64 @@
 import io.netty.channel.unix.UnixChannelOption;
 import java.net.StandardSocketOptions;
 
-/** Native epoll, measured to take a fifth less CPU than NIO; NIO where its library cannot be loaded. */
+/**
+ * The kind of sockets that the node uses: native epoll, measured to take a fifth less CPU than NIO, or NIO where the
+ * library of epoll cannot be loaded.
+ */
 public final class Transport {
-    /** Tests run the other one too; set before a node is made. */
-    public static volatile boolean epoll = Epoll.isAvailable();
-    /** Reads of one connection in a round of the loop, as is the library's own number. */
-    private static final int READS = 16;
+    /** How often a connection is read in one round of the event loop: Netty's own number. */
+    private static final int MAX_READS_PER_ROUND = 16;
 
     /**
-     * Read ahead of what a client's connection takes (bytes): some hundred commands beyond the open ones.
-     * Epoll, told of an end, reads up to it whatever is left; else as much as the system's buffers hold.
+     * How much is read of a client's connection beyond the commands that are open, some hundred commands. Epoll tells
+     * of an end of the connection however much is unread in front of it.
      */
-    private static final int AHEAD = 64 * 1024;
+    private static final int READ_AHEAD_BYTES = 64 * 1024;
 
-    private static final int AHEAD_UNTOLD = 256 * 1024;
+    /** NIO tells of an end only when all in front of it is read: as much as the system's buffers hold. */
+    private static final int READ_AHEAD_BYTES_NIO = 256 * 1024;
+
+    private static volatile boolean epoll = Epoll.isAvailable();
 
     private Transport() {}
 
-    public static int ahead() {
-        return epoll ? AHEAD : AHEAD_UNTOLD;
+    /** Sets the kind of sockets of what is made from here on; for tests, which run both. */
+    public static void useEpoll(boolean use) {
+        epoll = use;
+    }
+
+    /** How many bytes to read of a client's connection beyond the commands that are open, to see its end. */
+    public static int readAheadBytes() {
+        return epoll ? READ_AHEAD_BYTES : READ_AHEAD_BYTES_NIO;
     }
 
-    /** Reads on behind the last bytes, and so to an end that came with them: only epoll tells it unasked. */
-    public static RecvByteBufAllocator toTheEnd() {
-        AdaptiveRecvByteBufAllocator reads = new AdaptiveRecvByteBufAllocator();
-        reads.maxMessagesPerRead(READS);
-        return reads.respectMaybeMoreData(epoll);
+    /**
+     * An allocator for reads that go on behind the last bytes, and so see an end of the connection that came with
+     * them; without it only epoll would.
+     */
+    public static RecvByteBufAllocator newReadToEndAllocator() {
+        AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
+        allocator.maxMessagesPerRead(MAX_READS_PER_ROUND);
+        return allocator.respectMaybeMoreData(epoll);
     }
 
-    public static EventLoopGroup loop() {
+    /** A new event loop of one thread. */
+    public static EventLoopGroup newEventLoop() {
         return new MultiThreadIoEventLoopGroup(1, epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
-    /** Lets a second process listen at the same address. */
-    public static ChannelOption<Boolean> shared() {
+    /** The option that lets a second process listen at the same address. */
+    public static ChannelOption<Boolean> reusePort() {
         return epoll ? UnixChannelOption.SO_REUSEPORT : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
     }
 
-    public static Class<? extends SocketChannel> socket() {
+    /** The class of channels that connect. */
+    public static Class<? extends SocketChannel> socketChannel() {
         return epoll ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
-    public static Class<? extends ServerSocketChannel> listener() {
+    /** The class of channels that listen. */
+    public static Class<? extends ServerSocketChannel> serverSocketChannel() {
         return epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 }
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -153,7 +153,7 @@
         this.most = most;
         bootstrap = new Bootstrap()
                 .group(group)
-                .channel(Transport.socket())
+                .channel(Transport.socketChannel())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) config.connectTimeoutMs())
                 .option(ChannelOption.SO_RCVBUF, KERNEL)
                 .option(
--- a/src/test/java/quotagateway/node/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/node/ClientDisconnectTest.java
@@ -26,14 +26,14 @@
 
     private void start(boolean epoll) throws Exception {
         assumeTrue(!epoll || Epoll.isAvailable());
-        Transport.epoll = epoll;
+        Transport.useEpoll(epoll);
         tellSilence = false; // of the watch, whenever that falls
         start();
     }
 
     @AfterEach
     void transport() {
-        Transport.epoll = Epoll.isAvailable();
+        Transport.useEpoll(Epoll.isAvailable());
     }
 
     @Override
--- a/src/test/java/quotagateway/node/GatewayNodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -343,7 +343,7 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        EventLoopGroup group = Transport.loop();
+        EventLoopGroup group = Transport.newEventLoop();
         try {
             Thread.currentThread().interrupt();
             assertThrows(InterruptedException.class, () -> new ClientListener(node, node, 8).bind(group, address));
--- a/src/test/java/quotagateway/transport/TransportTest.java
+++ b/src/test/java/quotagateway/transport/TransportTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What all sockets of the node are held to. */
+/** Settings that all sockets of the node rely on. */
 class TransportTest {
     @AfterEach
-    void transport() {
-        Transport.epoll = Epoll.isAvailable();
+    void restoreTransport() {
+        Transport.useEpoll(Epoll.isAvailable());
     }
 
-    /** A small write that the system holds back goes with a close. The library sets it, so we need not. */
+    /** A small write that the system held back would be lost with a close. Netty sets the option by itself. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void nothingIsHeldBack(boolean epoll) throws Exception {
-        Transport.epoll = epoll && Epoll.isAvailable();
-        var socket = Transport.socket().getDeclaredConstructor().newInstance();
+    void smallWritesAreSentAtOnce(boolean epoll) throws Exception {
+        Transport.useEpoll(epoll && Epoll.isAvailable());
+        var socket = Transport.socketChannel().getDeclaredConstructor().newInstance();
         try {
             assertTrue(socket.config().isTcpNoDelay(), "TCP_NODELAY");
         } finally {
