--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -67,7 +67,7 @@
     private ServerBootstrap bootstrap(EventLoopGroup group) {
         return new ServerBootstrap()
                 .group(group)
-                .channel(Transport.listener())
+                .channel(Transport.serverSocketChannel())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .handler(new ChannelInitializer<ServerSocketChannel>() {
--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -73,13 +73,13 @@
     public SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
-                .channel(Transport.listener())
+                .channel(Transport.serverSocketChannel())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(Transport.shared(), true)
+                .option(Transport.reusePort(), true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, acceptUntilQueueIsEmpty())
                 .handler(new ServerInitializer())
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.toTheEnd())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.newReadToEndAllocator())
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
--- a/src/main/java/quotagateway/client/ReadAhead.java
+++ b/src/main/java/quotagateway/client/ReadAhead.java
@@ -17,7 +17,7 @@
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
     private final ReadAheadBudget budget;
-    private final int maxBytes = Transport.ahead();
+    private final int maxBytes = Transport.readAheadBytes();
     private final ArrayDeque<ByteBuf> buffers = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private int bufferedBytes;
--- a/src/main/java/quotagateway/node/NodeEventLoop.java
+++ b/src/main/java/quotagateway/node/NodeEventLoop.java
@@ -24,7 +24,7 @@
     private static final long SHUTDOWN_TIMEOUT_MS = 100;
     private static final long SHUTDOWN_WAIT_MS = 500;
 
-    private final EventLoopGroup group = Transport.loop();
+    private final EventLoopGroup group = Transport.newEventLoop();
     private final long startedNanos = System.nanoTime();
     private final double startedMs = System.currentTimeMillis();
     private final Set<Channel> unflushedChannels = new LinkedHashSet<>();
--- a/src/test/java/quotagateway/node/GatewayNodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -375,7 +375,7 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
-        EventLoopGroup group = Transport.loop();
+        EventLoopGroup group = Transport.newEventLoop();
         try {
             Thread.currentThread().interrupt();
             assertThrows(
