--- a/src/test/java/quotagateway/node/CordonStoreTest.java
+++ b/src/test/java/quotagateway/node/CordonStoreTest.java
@@ -12,54 +12,54 @@
 /** Calls that take servers out, and what is kept of them. */
 class CordonStoreTest extends NodeFixture {
     private Path file() {
-        return state.resolve("cordons-n0");
+        return stateFolder.resolve("cordons-n0");
     }
 
     @Test
-    void aYesIsKeptAndANoIsNot() throws Exception {
+    void cordonOfAListedEndpointIsStoredAndOfAnUnknownOneIsNot() throws Exception {
         start();
-        assertEquals(List.of("200", "done\n"), admin(node, "POST", "/admin/cordon/s0"));
-        expect("cordon s0");
+        assertEquals(List.of("200", "done\n"), callAdmin(node, "POST", "/admin/cordon/s0"));
+        expectEvent("cordon s0");
         assertEquals("s0\n", Files.readString(file()));
-        assertEquals("200", admin(node, "POST", "/admin/cordon/s0").get(0));
+        assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         assertEquals("s0\n", Files.readString(file()));
-        expect("cordon s0");
-        assertEquals("404", admin(node, "POST", "/admin/cordon/s1").get(0));
-        expect("cordon s1");
-        assertEquals("404", admin(node, "POST", "/admin/uncordon/").get(0));
-        expect("uncordon ");
-        assertEquals("405", admin(node, "GET", "/admin/cordon/s0").get(0));
-        assertEquals("400", admin(node, "POST", "/admin/cordon/s%").get(0));
+        expectEvent("cordon s0");
+        assertEquals("404", callAdmin(node, "POST", "/admin/cordon/s1").get(0));
+        expectEvent("cordon s1");
+        assertEquals("404", callAdmin(node, "POST", "/admin/uncordon/").get(0));
+        expectEvent("uncordon ");
+        assertEquals("405", callAdmin(node, "GET", "/admin/cordon/s0").get(0));
+        assertEquals("400", callAdmin(node, "POST", "/admin/cordon/s%").get(0));
         assertEquals("s0\n", Files.readString(file()));
-        assertEquals("200", admin(node, "POST", "/admin/uncordon/s%30").get(0));
-        expect("uncordon s0");
+        assertEquals("200", callAdmin(node, "POST", "/admin/uncordon/s%30").get(0));
+        expectEvent("uncordon s0");
         assertEquals("", Files.readString(file()));
     }
 
     /** The next process has it before its first attempt, and a file cut off anywhere keeps none back. */
     @Test
-    void theNextProcessReadsWhatIsKept() throws Exception {
+    void storedCordonsAreInForceInTheNextProcess() throws Exception {
         Files.writeString(file(), "s0\ns1\ns-to");
         start("cordons [s0, s1]");
-        assertEquals("200", admin(node, "POST", "/admin/uncordon/s0").get(0));
+        assertEquals("200", callAdmin(node, "POST", "/admin/uncordon/s0").get(0));
         assertEquals("s1\n", Files.readString(file()));
     }
 
     @Test
-    void noFileStopsAStart() throws Exception {
+    void unreadableCordonFileDoesNotStopAStart() throws Exception {
         Files.createDirectory(file()); // cannot be read, nor written
         start();
-        assertEquals("503", admin(node, "POST", "/admin/cordon/s0").get(0));
-        expect("cordon s0");
+        assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
+        expectEvent("cordon s0");
     }
 
     /** A folder that could not be written for a while lost the call for the next process. */
     @Test
-    void whatCouldNotBeKeptIsKeptWhenTheFolderIsBack() throws Exception {
+    void cordonThatCouldNotBeStoredIsStoredWhenTheFolderIsBack() throws Exception {
         Files.createDirectory(file());
         start();
-        assertEquals("503", admin(node, "POST", "/admin/cordon/s0").get(0));
-        expect("cordon s0");
+        assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
+        expectEvent("cordon s0");
         Files.delete(file());
         long end = System.nanoTime() + 10_000_000_000L;
         while (!Files.exists(file()) && System.nanoTime() < end) {
@@ -70,21 +70,21 @@
 
     /** While a new version comes up each process hears what the other was told. */
     @Test
-    void whatAnotherProcessKeepsBindsThisOne() throws Exception {
+    void cordonStoredByAnotherProcessIsInForceHere() throws Exception {
         start();
-        Path next = state.resolve("next");
+        Path next = stateFolder.resolve("next");
         Files.writeString(next, "s5\n");
         Files.move(next, file(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-        expect("cordons [s5]");
-        assertEquals("200", admin(node, "POST", "/admin/cordon/s0").get(0));
+        expectEvent("cordons [s5]");
+        assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         assertEquals(Set.of("s0", "s5"), Set.copyOf(Files.readAllLines(file())));
     }
 
     /** Its idle connections end too: it is about to be restarted, and requests would find them dead. */
     @Test
-    void aServerThatIsOutKeepsNoIdleConnections() throws Exception {
+    void cordonedEndpointKeepsNoIdleConnections() throws Exception {
         start();
-        assertEquals("200", admin(node, "POST", "/admin/cordon/s0").get(0));
-        assertTrue(server.ended());
+        assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
+        assertTrue(endpointConnection.awaitEnd());
     }
 }
--- a/src/test/java/quotagateway/node/DescriptorLimitTest.java
+++ b/src/test/java/quotagateway/node/DescriptorLimitTest.java
@@ -64,8 +64,8 @@
                         NodeFixture.list(41, true, NodeFixture.entry("s0", app.address(), "active")));
     }
 
-    private static void watch(Peer.Line line, String list) throws Exception {
-        while (!line.line().isEmpty()) {
+    private static void watch(Peer.Connection line, String list) throws Exception {
+        while (!line.readLine().isEmpty()) {
             assertTrue(line.socket.isConnected());
         }
         line.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + Integer.toHexString(list.length() + 1)
@@ -88,11 +88,11 @@
     private static void serve(Peer app, CountDownLatch first) {
         daemon(() -> {
             while (true) {
-                Peer.Line line = app.accept();
+                Peer.Connection line = app.awaitConnection();
                 first.countDown();
                 daemon(() -> {
-                    while (line.message() != null) {
-                        line.value("served");
+                    while (line.readMessage() != null) {
+                        line.sendValue("served");
                     }
                     return null;
                 });
@@ -100,8 +100,8 @@
         });
     }
 
-    private Peer.Line client() throws Exception {
-        Peer.Line line = Peer.Line.to(port);
+    private Peer.Connection client() throws Exception {
+        Peer.Connection line = Peer.Connection.connect(port);
         open.add(line);
         return line;
     }
@@ -133,24 +133,24 @@
 
     /** All that clients may fill is filled while discovery is away and the counter breaks off. */
     @Test
-    void idleClientsLeaveRoomForTheNodesOwn() throws Exception {
+    void idleClientsLeaveDescriptorsForTheNodeItself() throws Exception {
         Process node = node(SOCKETS);
         try {
-            Peer.Line watch = discovery.accept();
+            Peer.Connection watch = discovery.awaitConnection();
             watch(watch, "");
-            app.accept();
-            Peer.Line[] lines = new Peer.Line[LINES];
+            app.awaitConnection();
+            Peer.Connection[] lines = new Peer.Connection[LINES];
             for (int i = 0; i < LINES; i++) {
-                lines[i] = counter.accept();
+                lines[i] = counter.awaitConnection();
             }
             bound();
             discovery.close();
             watch.close();
             int down = discovery.port();
             for (int i = 0; i < SOCKETS; i++) { // each asks once, and then holds its place
-                Peer.Line idle = client();
-                idle.command("PING");
-                assertEquals(List.of("+PONG"), idle.message());
+                Peer.Connection idle = client();
+                idle.sendCommand("PING");
+                assertEquals(List.of("+PONG"), idle.readMessage());
             }
             for (int i = 0; i < SOCKETS; i++) {
                 client(); // says nothing at all
@@ -159,7 +159,7 @@
                 lines[i].close();
             }
             for (int i = 0; i < LINES; i++) {
-                counter.accept(); // the counter is reached again
+                counter.awaitConnection(); // the counter is reached again
             }
             Peer back = new Peer(down);
             open.add(back);
@@ -167,13 +167,13 @@
             for (int i = 1; i <= SOCKETS; i++) { // more servers than their part holds
                 hosts.add(NodeFixture.entry("s" + i, other.address(), "active"));
             }
-            watch(back.accept(), NodeFixture.list(42, true, hosts.toArray(new String[0])));
+            watch(back.awaitConnection(), NodeFixture.list(42, true, hosts.toArray(new String[0])));
             CountDownLatch reached = new CountDownLatch(1);
             serve(other, reached);
             assertTrue(reached.await(10, TimeUnit.SECONDS)); // so the list is taken
-            Peer.Line client = client();
-            client.command("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
-            assertEquals(List.of("served"), client.message());
+            Peer.Connection client = client();
+            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
+            assertEquals(List.of("served"), client.readMessage());
             assertFalse(Files.readString(log).contains("Too many open files"), Files.readString(log));
             assertTrue(node.isAlive());
         } catch (IOException | AssertionError e) {
@@ -183,25 +183,25 @@
 
     /** Told of more than the system gives: the first that found none left ended the loop, and so the node. */
     @Test
-    void withNoneLeftItComesBackByItself() throws Exception {
+    void nodeRecoversOnceDescriptorsAreFreeAgain() throws Exception {
         Process node = node(1024);
         try {
             serve(app, new CountDownLatch(1));
-            watch(discovery.accept(), "");
+            watch(discovery.awaitConnection(), "");
             bound();
-            List<Peer.Line> crowd = new ArrayList<>();
+            List<Peer.Connection> crowd = new ArrayList<>();
             for (int i = 0; i < SOCKETS; i++) {
                 crowd.add(client());
             }
             while (!Files.readString(log).contains("Too many open files")) {
                 Thread.sleep(20);
             }
-            for (Peer.Line line : crowd) {
+            for (Peer.Connection line : crowd) {
                 line.close();
             }
-            Peer.Line client = client();
-            client.command("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
-            assertEquals(List.of("served"), client.message());
+            Peer.Connection client = client();
+            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
+            assertEquals(List.of("served"), client.readMessage());
             assertTrue(node.isAlive());
         } catch (IOException | AssertionError e) {
             throw new AssertionError(Files.readString(log), e);
--- a/src/test/java/quotagateway/node/MetricsTest.java
+++ b/src/test/java/quotagateway/node/MetricsTest.java
@@ -29,7 +29,7 @@
     }
 
     private Map<String, Long> scrape() throws Exception {
-        List<String> answer = admin(node, "GET", "/admin/stats");
+        List<String> answer = callAdmin(node, "GET", "/admin/stats");
         assertEquals("200", answer.get(0));
         return samples(answer.get(1));
     }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void allStandsThereFromTheStartAtNought() {
+    void metricsStartAtZero() {
         Metrics metrics = new Metrics(
                 List.of(new RequestClass("a\"b\\", Idempotency.IDEMPOTENT, RetryScope.ALL, 1, 1, 1, 0, 0, false)));
         assertEquals("""
@@ -70,32 +70,32 @@
     }
 
     @Test
-    void eachOutcomeIsCountedOnceAndAttemptsWhenWritten() throws Exception {
+    void outcomesAreCountedOnceAndAttemptsWhenWritten() throws Exception {
         start();
         assertEquals(1, scrape().get("registry_entries"));
-        Peer.Line client = client();
-        get(client, "01", "read", 5000);
-        assertEquals("01", server.message().get(2));
+        Peer.Connection client = connectClient();
+        sendGet(client, "01", "read", 5000);
+        assertEquals("01", endpointConnection.readMessage().get(2));
         assertEquals(1, scrape().get("open_requests"));
-        server.value("v");
-        client.message();
-        get(client, "02", "read", 5000);
-        server.message();
-        server.write("-ERR failed\r\n");
-        assertEquals(List.of("-ERR failed"), client.message());
-        get(client, "03", "read", 5000);
-        server.message();
+        endpointConnection.sendValue("v");
+        client.readMessage();
+        sendGet(client, "02", "read", 5000);
+        endpointConnection.readMessage();
+        endpointConnection.write("-ERR failed\r\n");
+        assertEquals(List.of("-ERR failed"), client.readMessage());
+        sendGet(client, "03", "read", 5000);
+        endpointConnection.readMessage();
         assertEquals(3, scrape().get("relayed_total"));
-        Peer.Line gone = client();
+        Peer.Connection gone = connectClient();
         List<String> types = new ArrayList<>(List.of("refuse", "hold", "fail"));
         for (String type : types) { // the last two are of no class in the settings: no label for them
-            get(gone, type, type, 100);
+            sendGet(gone, type, type, 100);
         }
         for (int i = 0; i < types.size(); i++) {
-            gone.message();
+            gone.readMessage();
         }
         client.close(); // abandoned: counted nowhere
-        for (String told = this.told.take(); !told.equals("gone 3"); told = this.told.take()) {
+        for (String told = this.policyEvents.take(); !told.equals("gone 3"); told = this.policyEvents.take()) {
             assertTrue(!told.startsWith("gone 1"));
         }
         Map<String, Long> all = scrape();
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void refusalsRetriesAndClosesAreCountedByReason() {
+    void rejectionsRetriesAndClosesAreCountedByReason() {
         Metrics metrics = new Metrics(List.of());
         metrics.countUnserved(RequestOutcome.THROTTLED, FailureReason.QUOTA_SHORT);
         metrics.countUnserved(RequestOutcome.FAULTED, FailureReason.DEADLINE);
--- a/src/test/java/quotagateway/node/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/node/MisbehavingClientTest.java
@@ -11,9 +11,9 @@
 class MisbehavingClientTest extends NodeFixture {
     /** Guards against crashes, hangs and unbounded buffers: -ERR, and a broken frame also closes. */
     @Test
-    void malformedInputGetsAnError() throws Exception {
+    void malformedInputIsAnsweredWithAnError() throws Exception {
         start();
-        Peer.Line client = client();
+        Peer.Connection client = connectClient();
         String call = "c=read,t=p,d=900,units=2,spread=3,first=1";
         for (String list : new String[] {
             "c=read,t=p",
@@ -36,8 +36,8 @@
             call.replace("read", "write"),
             call.replace("read", "write") + ",k=1"
         }) {
-            client.command("CALL.GET", CUSTOMER, "01", list);
-            assertTrue(client.message().get(0).startsWith("-ERR "), list);
+            client.sendCommand("CALL.GET", CUSTOMER, "01", list);
+            assertTrue(client.readMessage().get(0).startsWith("-ERR "), list);
         }
         for (String[] words : new String[][] {
             {"GET", "x"},
@@ -50,11 +50,11 @@
             {"CALL.POST", CUSTOMER, "01", call, "d"},
             {"CALL.POST", CUSTOMER, "01", "c=write,t=p,d=900"}
         }) {
-            client.command(words);
-            assertTrue(client.message().get(0).startsWith("-ERR "), String.join(" ", words));
+            client.sendCommand(words);
+            assertTrue(client.readMessage().get(0).startsWith("-ERR "), String.join(" ", words));
         }
         client.write("*4\r\n$8\r\nCALL.GET\r\n$-1\r\n*1\r\n+x\r\n:5\r\n");
-        assertTrue(client.message().get(0).startsWith("-ERR "));
+        assertTrue(client.readMessage().get(0).startsWith("-ERR "));
         for (String broken : new String[] {
             "GET / HTTP/1.1\r\n\r\n",
             "*1\r\n$536870000\r\n",
@@ -64,81 +64,81 @@
             "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n$1\r\na\r\n",
             "$3\r\nabcde"
         }) {
-            Peer.Line other = client();
+            Peer.Connection other = connectClient();
             other.write(broken);
-            assertTrue(other.message().get(0).startsWith("-ERR "), broken);
-            assertTrue(other.ended(), broken);
+            assertTrue(other.readMessage().get(0).startsWith("-ERR "), broken);
+            assertTrue(other.awaitEnd(), broken);
         }
-        get(client, "01", "refuse", 900);
-        assertEquals(List.of("-BUSY 1500"), client.message());
+        sendGet(client, "01", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
     /** An app server could not tell two open requests of one id apart; a closed one's id is free again. */
     @Test
-    void anIdIsOpenOnce() throws Exception {
+    void secondRequestWithAnOpenIdIsRefused() throws Exception {
         start();
-        Peer.Line client = client();
-        get(client, "01", "hold", 400);
-        arrived(1, "hold");
-        Peer.Line other = client();
-        get(other, "01", "refuse", 900);
-        assertTrue(other.message().get(0).startsWith("-ERR "));
-        assertEquals(List.of("-ERR failed"), client.message());
-        get(other, "01", "refuse", 900);
-        assertEquals(List.of("-BUSY 1500"), other.message());
+        Peer.Connection client = connectClient();
+        sendGet(client, "01", "hold", 400);
+        expectRequest(1, "hold");
+        Peer.Connection other = connectClient();
+        sendGet(other, "01", "refuse", 900);
+        assertTrue(other.readMessage().get(0).startsWith("-ERR "));
+        assertEquals(List.of("-ERR failed"), client.readMessage());
+        sendGet(other, "01", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), other.readMessage());
     }
 
     /** Its error would come after all that is open before it on the connection: that fails at once. */
     @Test
-    void aBrokenFrameIsNotLateBehindOpenCalls() throws Exception {
+    void malformedFrameIsAnsweredAtOnceBehindOpenRequests() throws Exception {
         start();
-        Peer.Line client = client();
-        get(client, "01", "hold", 60_000);
-        arrived(1, "hold");
+        Peer.Connection client = connectClient();
+        sendGet(client, "01", "hold", 60_000);
+        expectRequest(1, "hold");
         client.write("*4\r\n$99999999\r\n");
-        assertEquals(List.of("-ERR failed"), client.message());
-        assertTrue(client.message().get(0).startsWith("-ERR "));
-        assertTrue(client.ended());
-        expect("gone 1");
+        assertEquals(List.of("-ERR failed"), client.readMessage());
+        assertTrue(client.readMessage().get(0).startsWith("-ERR "));
+        assertTrue(client.awaitEnd());
+        expectEvent("gone 1");
     }
 
     /** Silent ones and halves of commands filled the places of clients that ask; those that ask may stay. */
     @Test
-    void silenceAndHalfACommandAreEnded() throws Exception {
+    void silentAndIncompleteConnectionsAreClosed() throws Exception {
         start();
-        Peer.Line good = client();
-        good.command("PING");
-        assertEquals(List.of("+PONG"), good.message());
-        Peer.Line silent = client();
-        Peer.Line half = client();
+        Peer.Connection good = connectClient();
+        good.sendCommand("PING");
+        assertEquals(List.of("+PONG"), good.readMessage());
+        Peer.Connection silent = connectClient();
+        Peer.Connection half = connectClient();
         half.write("*4\r\n$8\r\nCALL.G");
-        Peer.Line later = client();
-        later.command("PING");
-        assertEquals(List.of("+PONG"), later.message());
+        Peer.Connection later = connectClient();
+        later.sendCommand("PING");
+        assertEquals(List.of("+PONG"), later.readMessage());
         later.write("*1\r\n$4\r\nPI");
-        for (Peer.Line line : List.of(silent, half, later)) {
-            assertTrue(line.message().get(0).startsWith("-ERR "));
-            assertTrue(line.ended());
+        for (Peer.Connection line : List.of(silent, half, later)) {
+            assertTrue(line.readMessage().get(0).startsWith("-ERR "));
+            assertTrue(line.awaitEnd());
         }
-        good.command("PING");
-        assertEquals(List.of("+PONG"), good.message());
+        good.sendCommand("PING");
+        assertEquals(List.of("+PONG"), good.readMessage());
     }
 
     /** One that never reads kept the process from ending after SIGTERM. */
     @Test
-    void aClientThatNeverReadsDoesNotKeepTheNode() throws Exception {
-        sockets = 1024;
+    void clientThatNeverReadsDoesNotKeepTheNodeFromEnding() throws Exception {
+        maxSockets = 1024;
         start();
-        Peer.Line client = client();
+        Peer.Connection client = connectClient();
         String value = "v".repeat(64 * 1024);
-        List<Peer.Line> lines = new ArrayList<>();
+        List<Peer.Connection> lines = new ArrayList<>();
         for (int i = 0; i < 140; i++) { // more than the sockets' buffers hold
-            get(client, "0" + i, "read", 20_000);
-            lines.add(i == 0 ? server : app.accept());
-            lines.get(i).message();
+            sendGet(client, "0" + i, "read", 20_000);
+            lines.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
+            lines.get(i).readMessage();
         }
-        for (Peer.Line line : lines) {
-            line.value(value);
+        for (Peer.Connection line : lines) {
+            line.sendValue(value);
         }
         drained = true;
         node.drain(); // or the test's time is up
@@ -146,54 +146,54 @@
 
     /** Running out of descriptors would end accepting: an idle client makes room for a new one. */
     @Test
-    void manyClientsPushOutTheIdlest() throws Exception {
-        sockets = 40;
+    void newClientsEvictTheLongestIdle() throws Exception {
+        maxSockets = 40;
         start();
-        List<Peer.Line> lines = new ArrayList<>();
+        List<Peer.Connection> lines = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            Peer.Line line = client();
-            line.command("PING");
-            assertEquals(List.of("+PONG"), line.message());
+            Peer.Connection line = connectClient();
+            line.sendCommand("PING");
+            assertEquals(List.of("+PONG"), line.readMessage());
             lines.add(line);
         }
         for (int i = 0; i < 40 - 13; i++) { // the cap is a third of 40, as the rest is the node's own
-            assertTrue(lines.get(i).ended());
+            assertTrue(lines.get(i).awaitEnd());
         }
-        get(lines.get(39), "01", "refuse", 900);
-        assertEquals(List.of("-BUSY 1500"), lines.get(39).message());
+        sendGet(lines.get(39), "01", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), lines.get(39).readMessage());
     }
 
     /** A head may take 2 s: in a crowd it was taken for one that never asks, and ended after 0.5 s. */
     @Test
-    void aSlowHeadIsTheLastToMakeRoom() throws Exception {
-        sockets = 40;
+    void incompleteCommandIsEvictedLast() throws Exception {
+        maxSockets = 40;
         start();
-        Peer.Line slow = client();
+        Peer.Connection slow = connectClient();
         slow.write("*1\r\n$4\r\nPI");
-        Peer.Line silent = client();
+        Peer.Connection silent = connectClient();
         Thread.sleep(600); // both have had the time to ask
         for (int i = 0; i < 40; i++) {
-            Peer.Line line = client();
-            line.command("PING");
-            assertEquals(List.of("+PONG"), line.message());
+            Peer.Connection line = connectClient();
+            line.sendCommand("PING");
+            assertEquals(List.of("+PONG"), line.readMessage());
         }
-        assertTrue(silent.ended());
+        assertTrue(silent.awaitEnd());
         slow.write("NG\r\n");
-        assertEquals(List.of("+PONG"), slow.message());
+        assertEquals(List.of("+PONG"), slow.readMessage());
     }
 
     /** A crowd that came all at once kept the next one out until each had been silent for 2.5 s. */
     @Test
-    void theNextIsTakenOnceSilentOnesHaveHadTheirTime() throws Exception {
-        sockets = 40;
+    void nextClientIsAcceptedOnceSilentOnesHaveHadTheirTime() throws Exception {
+        maxSockets = 40;
         start();
-        List<Peer.Line> silent = new ArrayList<>();
+        List<Peer.Connection> silent = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            silent.add(client());
+            silent.add(connectClient());
         }
-        Peer.Line good = client();
-        good.command("PING");
-        assertEquals(List.of("+PONG"), good.message());
-        assertTrue(silent.get(0).ended(), "made room, and was not told that its patience is over");
+        Peer.Connection good = connectClient();
+        good.sendCommand("PING");
+        assertEquals(List.of("+PONG"), good.readMessage());
+        assertTrue(silent.get(0).awaitEnd(), "made room, and was not told that its patience is over");
     }
 }
--- a/src/test/java/quotagateway/node/NodeFixture.java
+++ b/src/test/java/quotagateway/node/NodeFixture.java
@@ -5,8 +5,10 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -28,80 +30,90 @@
 import quotagateway.policy.api.PolicyActions;
 import quotagateway.policy.api.PolicyEvents;
 
-/** A real edge node between peers on loopback sockets, with a scripted module for the decisions. */
+/**
+ * A real node between peers on loopback sockets, which the test plays itself, with a scripted policy. A test sets the
+ * fields that go into the configuration, calls {@link #start}, and then reads and writes on the peers' connections.
+ */
 @Timeout(30)
 public abstract class NodeFixture {
     static final String CUSTOMER = "00000000b4d65521";
 
-    /** Notes what it is told and acts by the class of a request: most go to server s0. */
-    final class Script implements PolicyEvents {
-        PolicyActions act;
+    /** Longest wait (s) for an event at the policy. */
+    private static final int EVENT_TIMEOUT_S = 10;
+
+    /**
+     * Adds each event to {@link #policyEvents} as a line of text, and acts by the class of a request: most go to
+     * endpoint s0.
+     */
+    final class ScriptedPolicy implements PolicyEvents {
+        PolicyActions actions;
         private Set<String> cordoned = Set.of();
-        private int listed;
+        private int listedEndpoints;
 
         @Override
-        public void onEndpoints(double now, List<EndpointDescriptor> list, boolean whole) {
-            StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
+        public void onEndpoints(double now, List<EndpointDescriptor> list, boolean complete) {
+            StringBuilder text = new StringBuilder(complete ? "whole" : "changes");
             list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
-            told.add(text.toString());
-            if (whole) {
-                listed = list.size();
+            policyEvents.add(text.toString());
+            if (complete) {
+                listedEndpoints = list.size();
             }
-            list.stream().filter(s -> s.state() == EndpointState.UP).forEach(act::retainEndpoint);
+            list.stream().filter(s -> s.state() == EndpointState.UP).forEach(actions::retainEndpoint);
         }
 
         @Override
         public int endpointCount() {
-            return listed;
+            return listedEndpoints;
         }
 
         @Override
-        public boolean setCordoned(double now, String server, boolean out) {
-            told.add((out ? "cordon " : "uncordon ") + server);
-            act.withdrawQueuedAttempts(server);
-            return server.equals("s0");
+        public boolean setCordoned(double now, String endpoint, boolean cordon) {
+            policyEvents.add((cordon ? "cordon " : "uncordon ") + endpoint);
+            actions.withdrawQueuedAttempts(endpoint);
+            return endpoint.equals("s0");
         }
 
         @Override
-        public void replaceCordons(double now, Set<String> servers) {
-            if (!servers.equals(cordoned)) { // the first telling is of none, as a rule
-                cordoned = servers;
-                told.add("cordons " + servers);
+        public void replaceCordons(double now, Set<String> endpoints) {
+            if (!endpoints.equals(cordoned)) { // at the start there are none, as a rule
+                cordoned = endpoints;
+                policyEvents.add("cordons " + endpoints);
             }
         }
 
         @Override
         public void onDiscoveryFailed(double now) {
-            if (tellSilence) {
-                told.add("discovery failed");
+            if (recordDiscoveryFailures) {
+                policyEvents.add("discovery failed");
             }
         }
 
         @Override
-        public void onRequest(double now, IncomingRequest r) {
-            told.add("arrived " + r.id() + " " + r.requestClass() + " " + r.plan() + " " + r.customer() + " "
-                    + r.units()
-                    + " " + r.gatewayCount() + " " + r.firstGateway() + " " + r.retry());
-            switch (r.requestClass()) {
-                case "refuse" -> act.reject(r.id(), 1500);
-                case "fail" -> act.fail(r.id());
+        public void onRequest(double now, IncomingRequest request) {
+            policyEvents.add("arrived " + request.id() + " " + request.requestClass() + " " + request.plan() + " "
+                    + request.customer() + " "
+                    + request.units()
+                    + " " + request.gatewayCount() + " " + request.firstGateway() + " " + request.retry());
+            switch (request.requestClass()) {
+                case "refuse" -> actions.reject(request.id(), 1500);
+                case "fail" -> actions.fail(request.id());
                 case "throw" -> throw new IllegalStateException("on purpose");
                 case "hold" -> {}
-                case "stall" -> stall.acquireUninterruptibly(); // the loop sees nothing meanwhile
-                case "drop" -> { // over before the connection for it is up
-                    act.sendAttempt(r.id(), "s0", 0);
-                    act.reject(r.id(), 0);
+                case "stall" -> stallPermits.acquireUninterruptibly(); // holds up the event loop
+                case "drop" -> { // completed before the connection for it is up
+                    actions.sendAttempt(request.id(), "s0", 0);
+                    actions.reject(request.id(), 0);
                 }
                 case "count" -> {
-                    act.addToCounter(77, -2.5, 4000);
-                    act.addToCounter(77, 1, 4000);
+                    actions.addToCounter(77, -2.5, 4000);
+                    actions.addToCounter(77, 1, 4000);
                 }
-                case "probe" -> act.checkHealth("s0");
+                case "probe" -> actions.checkHealth("s0");
                 case "cancel" -> {
-                    act.sendAttempt(r.id(), "s0", 0);
-                    act.scheduleTimer(300, r.id());
+                    actions.sendAttempt(request.id(), "s0", 0);
+                    actions.scheduleTimer(300, request.id());
                 }
-                default -> act.sendAttempt(r.id(), "s0", 0);
+                default -> actions.sendAttempt(request.id(), "s0", 0);
             }
         }
 
@@ -114,103 +126,125 @@
                 long id,
                 int attempt,
                 CallOutcome outcome,
-                double took,
-                boolean over,
-                int trueUnits,
+                double tookMs,
+                boolean completed,
+                int actualUnits,
                 double[] load) {
-            told.add("ended " + id + " " + attempt + " " + outcome + " " + over);
-            if (!over) {
-                act.fail(id);
+            policyEvents.add("ended " + id + " " + attempt + " " + outcome + " " + completed);
+            if (!completed) {
+                actions.fail(id);
             }
         }
 
         @Override
         public void onClientDisconnected(double now, long id) {
-            told.add("gone " + id);
-            if (id == sendAfter) {
-                act.sendAttempt(id + 1, "s0", 0);
+            policyEvents.add("gone " + id);
+            if (id == sendNextAfterDisconnectOf) {
+                actions.sendAttempt(id + 1, "s0", 0);
             }
         }
 
         @Override
         public void onTimer(double now, long token) {
-            if (failTimers.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+            if (timersToFail.getAndUpdate(count -> Math.max(0, count - 1)) > 0) {
                 throw new IllegalStateException("timer on purpose");
             }
-            act.cancelAttempt(token, 0);
+            actions.cancelAttempt(token, 0);
         }
 
         @Override
-        public void onHealthCheck(double now, String server, CallOutcome outcome, double took, double[] load) {
-            told.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
+        public void onHealthCheck(double now, String endpoint, CallOutcome outcome, double tookMs, double[] load) {
+            policyEvents.add("probed " + endpoint + " " + outcome + " " + Arrays.toString(load));
         }
 
         @Override
-        public void onCounterReply(double now, long name, CallOutcome outcome, double took, double total) {
-            told.add("counted " + name + " " + outcome + " " + total);
+        public void onCounterReply(double now, long name, CallOutcome outcome, double tookMs, double total) {
+            policyEvents.add("counted " + name + " " + outcome + " " + total);
         }
     }
 
-    /** The folder that is kept when a new version comes up beside this one. */
+    /** The state directory, which the processes of one gateway share. */
     @TempDir
-    Path state;
-
-    final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    final List<AutoCloseable> open = new ArrayList<>();
-    Peer app;
-    Peer discovery;
-    Peer counter;
-    Peer.Line watch;
-    Peer.Line server;
+    Path stateFolder;
+
+    final BlockingQueue<String> policyEvents = new LinkedBlockingQueue<>();
+    /** Closed behind the test, in this order. */
+    final List<AutoCloseable> closeables = new ArrayList<>();
+
+    Peer endpointPeer;
+    Peer discoveryPeer;
+    Peer counterPeer;
+    /** The node's call to discovery that is kept open for changes. */
+    Peer.Connection watchConnection;
+    /** The connection that the node makes to its endpoint ahead of any request. */
+    Peer.Connection endpointConnection;
+
     GatewayNode node;
+    /** Set by tests that have told the node to end. */
     boolean drained;
-    int sockets = 256;
-    int listen;
-    int keepAlive = 15_000;
-    final AtomicInteger failTimers = new AtomicInteger();
-    volatile boolean tellSilence = true;
-    /** When this request's client goes, the next request's turn comes. */
-    volatile long sendAfter;
 
-    final Semaphore stall = new Semaphore(0);
+    // ---- for the configuration ----
+
+    int maxSockets = 256;
+    /** 0 for a free one. */
+    int listenPort;
+
+    int keepAliveMs = 15_000;
 
+    // ---- for the scripted policy ----
+
+    /** So many timers end with an exception. */
+    final AtomicInteger timersToFail = new AtomicInteger();
+
+    volatile boolean recordDiscoveryFailures = true;
+    /** When the client of the request with this number disconnects, an attempt of the next request is sent. */
+    volatile long sendNextAfterDisconnectOf;
+    /** Requests of class stall wait for one of these, on the event loop. */
+    final Semaphore stallPermits = new Semaphore(0);
+
+    /** An endpoint in the form of discovery. */
     public static String entry(String id, String dial, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + dial
                 + "\",\"site\":\"a\",\"class\":\"m\",\"block\":3,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    public static String list(int seq, boolean whole, String... entries) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}";
+    /** An endpoint list, or changes of one, in the form of discovery. */
+    public static String list(int version, boolean complete, String... entries) {
+        return "{\"seq\":" + version + ",\"whole\":" + complete + ",\"hosts\":[" + String.join(",", entries) + "]}";
     }
 
-    void push(String line) throws IOException {
-        watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+    /** Sends a line on the watch. */
+    void pushToWatch(String line) throws IOException {
+        watchConnection.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
+    /** Accepts the node's first watch, of the list that it has cached, and answers that nothing has changed. */
     void answerWatch() throws Exception {
-        answerWatch(discovery.accept());
+        answerWatch(discoveryPeer.awaitConnection());
     }
 
-    void answerWatch(Peer.Line connection) throws Exception {
-        watch = connection;
-        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", watch.line());
-        while (!watch.line().isEmpty()) {
-            assertTrue(watch.socket.isConnected());
+    /** As {@link #answerWatch()}, on a connection that has been accepted. */
+    void answerWatch(Peer.Connection connection) throws Exception {
+        watchConnection = connection;
+        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", watchConnection.readLine());
+        while (!watchConnection.readLine().isEmpty()) {
+            assertTrue(watchConnection.socket.isConnected());
         }
-        watch.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-        push("");
+        watchConnection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        pushToWatch("");
     }
 
     @BeforeEach
-    void peers() throws IOException {
-        app = new Peer();
-        discovery = new Peer();
-        counter = new Peer();
-        open.addAll(List.of(app, discovery, counter));
+    void openPeers() throws IOException {
+        endpointPeer = new Peer();
+        discoveryPeer = new Peer();
+        counterPeer = new Peer();
+        closeables.addAll(List.of(endpointPeer, discoveryPeer, counterPeer));
     }
 
-    String config() {
+    /** The configuration, with endpoint s0 in its cached list. */
+    String configJson() {
         return """
             {"name":"n0","listen":"127.0.0.1:%d","control":"127.0.0.1:0","discovery":"%s",
              "seed":"8c1f30d27a5be964",
@@ -222,44 +256,49 @@
                 {"name":"refuse","effect":"read_like","aim":600,"hard_limit":2000},
                 {"name":"write","effect":"idempotency_key","aim":600,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""".formatted(
-                        listen,
-                        discovery.address(),
-                        sockets,
-                        counter.address(),
-                        list(41, true, entry("s0", app.address(), "active")),
-                        keepAlive);
+                        listenPort,
+                        discoveryPeer.address(),
+                        maxSockets,
+                        counterPeer.address(),
+                        list(41, true, entry("s0", endpointPeer.address(), "active")),
+                        keepAliveMs);
     }
 
-    /** Starts, and expects what the module is told before and with the list known at the start. */
-    void start(String... before) throws Exception {
-        Script script = new Script();
-        GatewayConfig config = GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString()));
-        node = new GatewayNode(config, (settings, seed, now, actions) -> {
-            script.act = actions;
+    /** A node of this configuration that has not been started, with a scripted policy of its own. */
+    GatewayNode newNode(String json) throws IOException {
+        ScriptedPolicy policy = new ScriptedPolicy();
+        GatewayConfig config = GatewayConfig.of(Json.read(json), Map.of("TMPDIR", stateFolder.toString()));
+        return new GatewayNode(config, (settings, seed, now, actions) -> {
+            policy.actions = actions;
             assertEquals(4, settings.nodeCount());
             assertEquals(List.of("utilization", "outstanding"), settings.loadFields());
-            return script;
+            return policy;
         });
+    }
+
+    /** Starts a node; the policy gets these events, and then the cached list. */
+    void start(String... firstEvents) throws Exception {
+        node = newNode(configJson());
         Thread watching = new Thread(() -> {
             try {
                 answerWatch();
             } catch (Exception e) {
-                told.add("watch: " + e);
+                policyEvents.add("watch: " + e);
             }
         });
         watching.start();
         node.start();
         watching.join();
-        server = app.accept(); // the connection made ahead
-        for (String each : before) {
-            expect(each);
+        endpointConnection = endpointPeer.awaitConnection();
+        for (String event : firstEvents) {
+            expectEvent(event);
         }
-        expect("whole s0 UP");
+        expectEvent("whole s0 UP");
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable each : open) {
+    void closeAll() throws Exception {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
         if (node != null && !drained) {
@@ -267,40 +306,45 @@
         }
     }
 
-    Peer.Line client() throws IOException {
-        Peer.Line line = Peer.Line.to(((InetSocketAddress) node.listenAddress()).getPort());
-        open.add(line);
-        return line;
+    /** A client's connection to the node. */
+    Peer.Connection connectClient() throws IOException {
+        Peer.Connection client = Peer.Connection.connect(((InetSocketAddress) node.listenAddress()).getPort());
+        closeables.add(client);
+        return client;
     }
 
-    /** A call at the operators' door of this node; its status, and what came with it. */
-    static List<String> admin(GatewayNode at, String method, String path) throws IOException {
-        try (Peer.Line line = Peer.Line.to(((InetSocketAddress) at.adminAddress()).getPort())) {
-            line.write(method + " " + path + " HTTP/1.1\r\nHost: edge\r\n\r\n");
-            return answer(line);
+    /** A call to a node's admin endpoint; returns the status and the body. */
+    static List<String> callAdmin(GatewayNode node, String method, String path) throws IOException {
+        int port = ((InetSocketAddress) node.adminAddress()).getPort();
+        try (Peer.Connection connection = Peer.Connection.connect(port)) {
+            connection.write(method + " " + path + " HTTP/1.1\r\nHost: edge\r\n\r\n");
+            return readHttpResponse(connection);
         }
     }
 
-    static List<String> answer(Peer.Line line) throws IOException {
-        String status = line.line();
-        String head = line.line();
-        while (!head.isEmpty()) {
-            head = line.line();
+    /** The status of an HTTP response, and its body up to the end of the connection. */
+    static List<String> readHttpResponse(Peer.Connection connection) throws IOException {
+        String status = connection.readLine();
+        String header = connection.readLine();
+        while (!header.isEmpty()) {
+            header = connection.readLine();
         }
-        return List.of(
-                status.split(" ", 0)[1], new String(line.in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
+        return List.of(status.split(" ", 0)[1], new String(connection.input.readAllBytes(), StandardCharsets.UTF_8));
     }
 
-    static void get(Peer.Line client, String id, String type, int wait) throws IOException {
-        client.command("CALL.GET", CUSTOMER, id, "c=" + type + ",t=p,d=" + wait + ",units=2,spread=3,first=1");
+    /** Sends a request without a value; the client waits for so long (ms). */
+    static void sendGet(Peer.Connection client, String id, String requestClass, int timeoutMs) throws IOException {
+        client.sendCommand(
+                "CALL.GET", CUSTOMER, id, "c=" + requestClass + ",t=p,d=" + timeoutMs + ",units=2,spread=3,first=1");
     }
 
-    /** The next thing told to the module. */
-    void expect(String text) throws InterruptedException {
-        assertEquals(text, told.poll(10, TimeUnit.SECONDS));
+    /** Waits for the next event at the policy, which must be this one. */
+    void expectEvent(String text) throws InterruptedException {
+        assertEquals(text, policyEvents.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    void arrived(int id, String type) throws InterruptedException {
-        expect("arrived " + id + " " + type + " p " + CUSTOMER + " 2 3 1 false");
+    /** Waits for the event of a request that {@link #sendGet} has sent; number is the node's for it, from 1. */
+    void expectRequest(int number, String requestClass) throws InterruptedException {
+        expectEvent("arrived " + number + " " + requestClass + " p " + CUSTOMER + " 2 3 1 false");
     }
 }
--- a/src/test/java/quotagateway/node/Peer.java
+++ b/src/test/java/quotagateway/node/Peer.java
@@ -8,32 +8,39 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 
-/** The other side for tests: plain blocking sockets of the loopback address; the test reads and writes. */
+/**
+ * The other side of a node's connections in tests: a listener with plain blocking sockets on the loopback address. Its
+ * connections are accepted by a thread of its own; what is read and written on them is the test's.
+ */
 final class Peer implements Closeable {
-    /** One connection, with the commands or lines that are read from it by hand. */
-    static final class Line implements Closeable {
+    /** One connection. Reads wait for 10 s at the most, and then throw. */
+    static final class Connection implements Closeable {
         final Socket socket;
-        final InputStream in;
+        final InputStream input;
 
-        Line(Socket socket) throws IOException {
+        Connection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(10_000);
-            in = new BufferedInputStream(socket.getInputStream());
+            input = new BufferedInputStream(socket.getInputStream());
         }
 
-        static Line to(int port) throws IOException {
-            return new Line(new Socket(InetAddress.getLoopbackAddress(), port));
+        /** Connects to a port on the loopback address. */
+        static Connection connect(int port) throws IOException {
+            return new Connection(new Socket(InetAddress.getLoopbackAddress(), port));
         }
 
-        String line() throws IOException {
+        /** The next line without its end; throws at the end of the connection. */
+        String readLine() throws IOException {
             StringBuilder text = new StringBuilder();
-            for (int c = in.read(); c != '\n'; c = in.read()) {
+            for (int c = input.read(); c != '\n'; c = input.read()) {
                 if (c < 0) {
                     throw new EOFException();
                 }
@@ -42,16 +49,16 @@
             return text.toString().replace("\r", "");
         }
 
-        /** Reads one RESP message: an array as its parts, a bulk string as one part, else the line. */
-        List<String> message() throws IOException {
-            String head = line();
+        /** The next RESP message: an array as its parts, a bulk string as one part, else the line. */
+        List<String> readMessage() throws IOException {
+            String head = readLine();
             List<String> parts = new ArrayList<>();
             if (head.startsWith("*")) {
                 for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-                    parts.addAll(message());
+                    parts.addAll(readMessage());
                 }
             } else if (head.startsWith("$")) {
-                byte[] value = in.readNBytes(Integer.parseInt(head.substring(1)) + 2);
+                byte[] value = input.readNBytes(Integer.parseInt(head.substring(1)) + 2);
                 parts.add(new String(value, 0, value.length - 2, StandardCharsets.ISO_8859_1));
             } else {
                 parts.add(head);
@@ -63,7 +70,8 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        void command(String... words) throws IOException {
+        /** Writes a RESP array of bulk strings. */
+        void sendCommand(String... words) throws IOException {
             StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
             for (String word : words) {
                 text.append('$')
@@ -75,15 +83,16 @@
             write(text.toString());
         }
 
-        /** An app server's answer. */
-        void value(String value) throws IOException {
+        /** Writes an endpoint's response: a value, without usage figures and load report. */
+        void sendValue(String value) throws IOException {
             write("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
         }
 
-        boolean ended() throws IOException {
+        /** Waits for the next byte or the end of the connection; true where it is an end, or a reset. */
+        boolean awaitEnd() throws IOException {
             try {
-                return in.read() < 0;
-            } catch (java.net.SocketException reset) {
+                return input.read() < 0;
+            } catch (SocketException reset) {
                 return true;
             }
         }
@@ -96,7 +105,7 @@
 
     private final ServerSocket server;
     private final Thread accepting;
-    private final BlockingQueue<Line> accepted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Connection> accepted = new LinkedBlockingQueue<>();
 
     Peer() throws IOException {
         this(0);
@@ -107,7 +116,7 @@
         accepting = new Thread(() -> {
             try {
                 while (true) {
-                    accepted.add(new Line(server.accept()));
+                    accepted.add(new Connection(server.accept()));
                 }
             } catch (IOException closed) {
                 // the test is over
@@ -125,17 +134,18 @@
         return "127.0.0.1:" + port();
     }
 
-    Line accept() throws InterruptedException {
-        Line line = accepted.poll(10, java.util.concurrent.TimeUnit.SECONDS);
-        if (line == null) {
+    /** The next connection that comes; waits for 10 s at the most, and then throws. */
+    Connection awaitConnection() throws InterruptedException {
+        Connection connection = accepted.poll(10, TimeUnit.SECONDS);
+        if (connection == null) {
             throw new AssertionError("no connection came");
         }
-        return line;
+        return connection;
     }
 
-    /** A connection that comes within so many milliseconds, or null. */
-    Line poll(long wait) throws InterruptedException {
-        return accepted.poll(wait, java.util.concurrent.TimeUnit.MILLISECONDS);
+    /** The next connection that comes within so long (ms), or null. */
+    Connection pollConnection(long timeoutMs) throws InterruptedException {
+        return accepted.poll(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -146,8 +156,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (Line line : accepted) {
-            line.close();
+        for (Connection connection : accepted) {
+            connection.close();
         }
     }
 }
--- a/src/test/java/quotagateway/node/ProcessHandoverTest.java
+++ b/src/test/java/quotagateway/node/ProcessHandoverTest.java
@@ -14,45 +14,45 @@
 class ProcessHandoverTest extends NodeFixture {
     /** The second could not bind; the first ended connections with requests on them. */
     @Test
-    void theNewOneTakesClientsWhileTheOldOneFinishes() throws Exception {
+    void successorAcceptsClientsWhileThePredecessorFinishes() throws Exception {
         start();
         GatewayNode old = node;
-        Peer.Line before = client();
-        get(before, "01", "read", 5000);
-        arrived(1, "read");
-        assertEquals("01", server.message().get(2));
-        Peer.Line oldServer = server;
-        Peer.Line half = client();
+        Peer.Connection before = connectClient();
+        sendGet(before, "01", "read", 5000);
+        expectRequest(1, "read");
+        assertEquals("01", endpointConnection.readMessage().get(2));
+        Peer.Connection oldServer = endpointConnection;
+        Peer.Connection half = connectClient();
         half.write("*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n02\r\n$19\r\n");
         half.write("c=re");
 
-        listen = ((InetSocketAddress) old.listenAddress()).getPort();
+        listenPort = ((InetSocketAddress) old.listenAddress()).getPort();
         start();
-        assertEquals("200", admin(node, "GET", "/admin/health").get(0));
+        assertEquals("200", callAdmin(node, "GET", "/admin/health").get(0));
         Thread draining = new Thread(old::drain);
         draining.start();
-        while (admin(old, "GET", "/admin/health").get(0).equals("200")) {
+        while (callAdmin(old, "GET", "/admin/health").get(0).equals("200")) {
             Thread.onSpinWait();
         }
         for (int i = 0; i < 100; i++) { // none is let in by the old one and reset
-            try (Peer.Line line = Peer.Line.to(listen)) {
-                get(line, "1" + i, "refuse", 900);
-                assertEquals(List.of("-BUSY 1500"), line.message());
+            try (Peer.Connection line = Peer.Connection.connect(listenPort)) {
+                sendGet(line, "1" + i, "refuse", 900);
+                assertEquals(List.of("-BUSY 1500"), line.readMessage());
             }
         }
         half.write("fuse,t=p,d=1500\r\n"); // begun before: taken by the old one, and answered
-        assertEquals(List.of("-BUSY 1500"), half.message());
-        assertTrue(half.ended());
-        oldServer.value("one");
-        assertEquals(List.of("one"), before.message());
-        assertTrue(before.ended());
+        assertEquals(List.of("-BUSY 1500"), half.readMessage());
+        assertTrue(half.awaitEnd());
+        oldServer.sendValue("one");
+        assertEquals(List.of("one"), before.readMessage());
+        assertTrue(before.awaitEnd());
         draining.join();
-        assertEquals("200", admin(node, "GET", "/admin/health").get(0));
+        assertEquals("200", callAdmin(node, "GET", "/admin/health").get(0));
     }
 
     @Test
-    void aProcessKnowsWhetherAnotherHasTakenItsPlace() throws Exception {
-        Path folder = state;
+    void claimOfASecondProcessIsSeenByTheFirst() throws Exception {
+        Path folder = stateFolder;
         ProcessHandover first = new ProcessHandover(folder, "n0");
         assertFalse(first.hasSuccessor(), "no file yet");
         assertFalse(first.hasPredecessor());
@@ -71,18 +71,18 @@
 
     /** The two share one limit on sockets: the new one leaves the old one's connections their places. */
     @Test
-    void theNewOneTakesFewClientsAtFirst() throws Exception {
-        sockets = 40;
-        new ProcessHandover(state, "n0").claim();
+    void successorAcceptsFewerClientsAtFirst() throws Exception {
+        maxSockets = 40;
+        new ProcessHandover(stateFolder, "n0").claim();
         start();
-        Peer.Line first = client();
-        first.command("PING");
-        assertEquals(List.of("+PONG"), first.message());
+        Peer.Connection first = connectClient();
+        first.sendCommand("PING");
+        assertEquals(List.of("+PONG"), first.readMessage());
         for (int i = 0; i < 13; i++) { // 34 in 100 of 40 with it
-            Peer.Line line = client();
-            line.command("PING");
-            assertEquals(List.of("+PONG"), line.message());
+            Peer.Connection line = connectClient();
+            line.sendCommand("PING");
+            assertEquals(List.of("+PONG"), line.readMessage());
         }
-        assertTrue(first.ended());
+        assertTrue(first.awaitEnd());
     }
 }
--- a/src/test/java/quotagateway/node/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -5,13 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import quotagateway.config.GatewayConfig;
-import quotagateway.config.Json;
 import quotagateway.discovery.DiscoveryClientTest;
 import quotagateway.startup.JitWarmup;
 import quotagateway.startup.Readiness;
@@ -21,8 +18,8 @@
     private boolean known = true;
 
     @Override
-    String config() {
-        String text = super.config();
+    String configJson() {
+        String text = super.configJson();
         return known ? text : text.replace("\"known\":", "\"other\":");
     }
 
@@ -51,7 +48,7 @@
     }
 
     @Test
-    void theWaitsOfAStartAreBoundedInSum() {
+    void waitsOfAStartAreBoundedInSum() {
         assertEquals(100, ready(0, true, 0), "nothing is waited for that is there");
         assertEquals(800, ready(0, true, 1), "a list known from before serves");
         assertEquals(2000, ready(0, true, 4), "connections are made when they are asked for");
@@ -69,44 +66,32 @@
     /** Counter and app servers take connections and say nothing, and discovery may do the same. */
     @ParameterizedTest
     @ValueSource(strings = {"discovery answers", "all silent", "all silent, no list"})
-    void aNodeListensWhoeverIsSilent(String how) throws Exception {
+    void nodeListensWhoeverIsSilent(String how) throws Exception {
         known = !how.endsWith("no list");
         if (how.startsWith("discovery")) {
             Thread agent = new Thread(() -> {
                 try {
                     answerWatch();
                 } catch (Exception e) {
-                    told.add("watch: " + e);
+                    policyEvents.add("watch: " + e);
                 }
             });
             agent.setDaemon(true);
             agent.start();
         }
-        NodeFixture.Script script = new NodeFixture.Script();
-        node = new GatewayNode(
-                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-                (settings, seed, now, actions) -> {
-                    script.act = actions;
-                    return script;
-                });
+        node = newNode(configJson());
         node.start();
         assertNotNull(node.listenAddress());
-        Peer.Line client = client();
-        client.command("PING");
-        assertEquals(List.of("+PONG"), client.message());
+        Peer.Connection client = connectClient();
+        client.sendCommand("PING");
+        assertEquals(List.of("+PONG"), client.readMessage());
     }
 
     /** A list from before that cannot be taken is no reason to wait for anything, or not to start. */
     @Test
-    void aSpoiltListFromBeforeIsNoReasonNotToStart() throws Exception {
-        NodeFixture.Script script = new NodeFixture.Script();
-        String text = config().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
-        node = new GatewayNode(
-                GatewayConfig.of(Json.read(text), Map.of("TMPDIR", state.toString())),
-                (settings, seed, now, actions) -> {
-                    script.act = actions;
-                    return script;
-                });
+    void malformedCachedListDoesNotStopAStart() throws Exception {
+        String text = configJson().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
+        node = newNode(text);
         node.start();
         assertNotNull(node.listenAddress());
     }
--- a/src/test/java/quotagateway/node/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/node/ReloadSignalTest.java
@@ -8,7 +8,7 @@
 /** A new configuration that is told of while the node comes up was never read. */
 class ReloadSignalTest {
     @Test
-    void aSignalDuringTheStartIsHeardOnceThereIsANode() {
+    void signalDuringTheStartIsHandledOnceThereIsANode() {
         ReloadSignal signal = new ReloadSignal();
         AtomicInteger told = new AtomicInteger();
         signal.onSignal();
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -24,14 +24,15 @@
 
     private GatewayConfig moved(Peer toDiscovery, Peer toCounter) throws IOException {
         return GatewayConfig.of(
-                Json.read(config().replace(discovery.address(), toDiscovery.address())
-                        .replace(counter.address(), toCounter.address())),
+                Json.read(configJson()
+                        .replace(discoveryPeer.address(), toDiscovery.address())
+                        .replace(counterPeer.address(), toCounter.address())),
                 Map.of());
     }
 
-    private static void answerLists(Peer.Line line, String list) throws IOException {
-        assertEquals("GET /catalog/members HTTP/1.1", line.line()); // versions are of one place: all of it
-        while (!line.line().isEmpty()) {
+    private static void answerLists(Peer.Connection line, String list) throws IOException {
+        assertEquals("GET /catalog/members HTTP/1.1", line.readLine()); // versions are of one place: all of it
+        while (!line.readLine().isEmpty()) {
             assertTrue(line.socket.isConnected());
         }
         line.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
@@ -39,76 +40,70 @@
 
     /** The old watch counts until the new place has told its list; then it is left. */
     @Test
-    void discoveryMoves() throws Exception {
+    void reloadMovesTheWatchOnceTheNewAddressHasItsList() throws Exception {
         start();
         try (Peer next = new Peer()) {
-            node.reload(() -> moved(next, counter));
-            Peer.Line line = next.accept();
-            push(list(42, false, entry("s0", app.address(), "leaving")));
-            expect("changes s0 DRAINING");
-            answerLists(line, list(7, true, entry("s9", app.address(), "active")));
-            expect("whole s9 UP");
-            assertTrue(watch.ended());
-            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.line());
+            node.reload(() -> moved(next, counterPeer));
+            Peer.Connection line = next.awaitConnection();
+            pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
+            expectEvent("changes s0 DRAINING");
+            answerLists(line, list(7, true, entry("s9", endpointPeer.address(), "active")));
+            expectEvent("whole s9 UP");
+            assertTrue(watchConnection.awaitEnd());
+            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.readLine());
         }
     }
 
     /** The signal may come as the node comes up, with the file read before it was replaced. */
     @Test
-    void discoveryMovesBeforeTheNodeIsUp() throws Exception {
-        NodeFixture.Script script = new NodeFixture.Script();
-        node = new GatewayNode(
-                GatewayConfig.of(Json.read(config()), Map.of("TMPDIR", state.toString())),
-                (settings, seed, now, actions) -> {
-                    script.act = actions;
-                    return script;
-                });
+    void reloadDuringTheStartMovesTheWatch() throws Exception {
+        node = newNode(configJson());
         try (Peer next = new Peer()) {
-            node.reload(() -> moved(next, counter));
+            node.reload(() -> moved(next, counterPeer));
             Thread answering = new Thread(() -> {
                 try {
-                    watch = next.accept();
-                    watch.line();
-                    watch.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-                    push(list(42, false, entry("s0", app.address(), "leaving")));
+                    watchConnection = next.awaitConnection();
+                    watchConnection.readLine();
+                    watchConnection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+                    pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
                 } catch (Exception e) {
-                    told.add("watch: " + e);
+                    policyEvents.add("watch: " + e);
                 }
             });
             answering.start();
             node.start();
             answering.join();
-            expect("whole s0 UP");
-            expect("changes s0 DRAINING");
-            assertEquals(null, discovery.poll(0), "the old place is not asked");
+            expectEvent("whole s0 UP");
+            expectEvent("changes s0 DRAINING");
+            assertEquals(null, discoveryPeer.pollConnection(0), "the old place is not asked");
         }
     }
 
     /** Calls go to the new counter once it is up, and the old lines end once nothing is owed on them. */
     @Test
-    void theCounterMoves() throws Exception {
+    void reloadMovesTheCounterConnections() throws Exception {
         start();
-        Peer.Line[] old = new Peer.Line[4];
+        Peer.Connection[] old = new Peer.Connection[4];
         for (int i = 0; i < 4; i++) {
-            old[i] = counter.accept();
+            old[i] = counterPeer.awaitConnection();
         }
         try (Peer next = new Peer()) {
-            node.reload(() -> moved(discovery, next));
-            Peer.Line[] lines = new Peer.Line[4];
+            node.reload(() -> moved(discoveryPeer, next));
+            Peer.Connection[] lines = new Peer.Connection[4];
             for (int i = 0; i < 4; i++) {
-                lines[i] = next.accept();
+                lines[i] = next.awaitConnection();
             }
-            for (Peer.Line line : old) {
-                assertTrue(line.ended()); // nothing is owed on it
+            for (Peer.Connection line : old) {
+                assertTrue(line.awaitEnd()); // nothing is owed on it
             }
-            Peer.Line client = client();
-            get(client, "01", "count", 900);
-            arrived(1, "count");
-            expect("counted 77 TIMEOUT 0.0");
-            expect("counted 77 TIMEOUT 0.0");
+            Peer.Connection client = connectClient();
+            sendGet(client, "01", "count", 900);
+            expectRequest(1, "count");
+            expectEvent("counted 77 TIMEOUT 0.0");
+            expectEvent("counted 77 TIMEOUT 0.0");
             int called = 0;
-            for (Peer.Line line : lines) {
-                List<String> words = line.message();
+            for (Peer.Connection line : lines) {
+                List<String> words = line.readMessage();
                 called += words.get(0).equals("CNT.ADD") ? 1 : 0;
             }
             assertEquals(1, called);
@@ -117,26 +112,27 @@
 
     /** A file that cannot be read changes nothing. */
     @Test
-    void aFileThatCannotBeReadIsLeftAlone() throws Exception {
+    void reloadOfAnUnreadableFileChangesNothing() throws Exception {
         start();
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         node.reload(() -> GatewayConfig.reload(Map.of("EDGE_CONFIG", file.toString())));
         node.reload(() -> GatewayConfig.reload(
                 Map.of("EDGE_CONFIG", folder.resolve("none").toString())));
-        push(list(42, false, entry("s0", app.address(), "leaving")));
-        expect("changes s0 DRAINING");
+        pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
+        expectEvent("changes s0 DRAINING");
     }
 
     /** The variables are those of the start: the file's discovery wins when it is read again. */
     @Test
-    void theFileWinsOverTheVariableOfTheStart() throws Exception {
-        Path file = Files.writeString(folder.resolve("config.json"), config());
+    void reloadedFileWinsOverTheVariableOfTheStart() throws Exception {
+        Path file = Files.writeString(folder.resolve("config.json"), configJson());
         Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
         assertEquals(
                 "127.0.0.9:1",
                 GatewayConfig.fromEnvironment(env).discoveryAddress().toString().substring(1));
         assertEquals(
-                discovery.port(), GatewayConfig.reload(env).discoveryAddress().getPort());
+                discoveryPeer.port(),
+                GatewayConfig.reload(env).discoveryAddress().getPort());
     }
 
     /**
@@ -147,24 +143,24 @@
     @Timeout(120)
     void hangupReloadsAProcessAndDoesNotEndIt() throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
-            listen = free.getLocalPort();
+            listenPort = free.getLocalPort();
         }
-        Path file = Files.writeString(folder.resolve("config.json"), config());
+        Path file = Files.writeString(folder.resolve("config.json"), configJson());
         Process process = startProcess(file);
         try (Peer next = new Peer()) {
-            answerWatch(connectionFrom(process, discovery));
-            connectionFrom(process, counter);
-            connectionFrom(process, app);
+            answerWatch(connectionFrom(process, discoveryPeer));
+            connectionFrom(process, counterPeer);
+            connectionFrom(process, endpointPeer);
             awaitListening(process);
-            Files.writeString(file, config().replace(discovery.address(), next.address()));
+            Files.writeString(file, configJson().replace(discoveryPeer.address(), next.address()));
             assertEquals(
                     0,
                     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                             .start()
                             .waitFor());
-            Peer.Line line = connectionFrom(process, next);
-            answerLists(line, list(7, true, entry("s9", app.address(), "active")));
-            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.line());
+            Peer.Connection line = connectionFrom(process, next);
+            answerLists(line, list(7, true, entry("s9", endpointPeer.address(), "active")));
+            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.readLine());
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
         } finally {
             process.destroy();
@@ -180,17 +176,17 @@
                 "quotagateway.Main",
                 "serve");
         builder.environment().put("EDGE_CONFIG", config.toString());
-        builder.environment().put("TMPDIR", state.toString());
+        builder.environment().put("TMPDIR", stateFolder.toString());
         builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
         return builder.start();
     }
 
     /** The next connection to a peer, which the process makes as long as it lives. */
-    private static Peer.Line connectionFrom(Process process, Peer peer) throws InterruptedException {
-        Peer.Line line = peer.poll(100);
+    private static Peer.Connection connectionFrom(Process process, Peer peer) throws InterruptedException {
+        Peer.Connection line = peer.pollConnection(100);
         while (line == null) {
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
-            line = peer.poll(100);
+            line = peer.pollConnection(100);
         }
         return line;
     }
@@ -199,9 +195,9 @@
     private void awaitListening(Process process) throws Exception {
         while (true) {
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
-            try (Peer.Line line = Peer.Line.to(listen)) {
-                line.command("PING");
-                assertEquals(List.of("+PONG"), line.message());
+            try (Peer.Connection line = Peer.Connection.connect(listenPort)) {
+                line.sendCommand("PING");
+                assertEquals(List.of("+PONG"), line.readMessage());
                 return;
             } catch (ConnectException notYet) {
                 Thread.sleep(50);
--- a/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
+++ b/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
@@ -37,25 +37,25 @@
     }
 
     @Test
-    void theKillComesBehindTheLongestDeadline() {
+    void killComesBehindTheLongestDeadline() {
         assertEquals(900, ShutdownDeadline.earliestKillMs(settings(100, 200)));
         assertEquals(3008, ShutdownDeadline.earliestKillMs(settings(2308, 1000)));
     }
 
     @Test
-    void aLongerDeadlineCountsAsThreeSeconds() {
+    void longerDeadlineCountsAsThreeSeconds() {
         assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(4000)));
         assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(10_000, 100)));
     }
 
     @Test
-    void settingsThatTellNoDeadlineMayHaveAny() {
+    void settingsWithoutADeadlineCountAsThreeSeconds() {
         assertEquals(3700, ShutdownDeadline.earliestKillMs(settings()));
         assertEquals(3700, ShutdownDeadline.earliestKillMs(settings(0)));
     }
 
     @Test
-    void answersAreDueTwoHoldUpsBeforeTheKill() {
+    void responsesAreDueTwoStallsBeforeTheKill() {
         assertEquals(2708, ShutdownDeadline.responsesDueInMs(settings(2308)));
     }
 }
--- a/src/test/java/quotagateway/node/ShutdownProcessTest.java
+++ b/src/test/java/quotagateway/node/ShutdownProcessTest.java
@@ -109,21 +109,21 @@
         }
     }
 
-    private Peer.Line client() throws IOException {
-        Peer.Line line = Peer.Line.to(node.address().getPort());
+    private Peer.Connection client() throws IOException {
+        Peer.Connection line = Peer.Connection.connect(node.address().getPort());
         open.add(line);
         return line;
     }
 
-    private static void post(Peer.Line client, String id, int wait) throws IOException {
-        client.command(
+    private static void post(Peer.Connection client, String id, int wait) throws IOException {
+        client.sendCommand(
                 "CALL.POST", NodeFixture.CUSTOMER, id, "c=order,t=p,d=" + wait + ",units=1,spread=1,first=0", "body");
     }
 
     /** What the client sees: the answer, or the end of its connection. */
-    private static String outcome(Peer.Line client) throws IOException {
+    private static String outcome(Peer.Connection client) throws IOException {
         try {
-            return client.message().toString();
+            return client.readMessage().toString();
         } catch (EOFException | java.net.SocketException e) {
             return UNANSWERED;
         }
@@ -158,33 +158,33 @@
         start(deadline);
         long from = terminate(deadline);
         sleepUntil(from, 200);
-        Peer.Line late = client();
+        Peer.Connection late = client();
         sleepUntil(from, 950);
         post(late, "01", deadline);
-        Peer.Line got = placeServer.accept();
-        assertEquals("01", got.message().get(2), "it is passed on");
+        Peer.Connection got = placeServer.awaitConnection();
+        assertEquals("01", got.readMessage().get(2), "it is passed on");
         assertEquals("[-ERR failed]", outcome(late), this::log);
     }
 
     @Test
-    void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithShortDeadlines() throws Exception {
+    void requestLateInAShutdownIsAnsweredBeforeTheKillWithShortDeadlines() throws Exception {
         lateRequestIsAnswered(1000);
     }
 
     @Test
-    void aRequestLateInAShutdownIsAnsweredBeforeTheKillWithLongDeadlines() throws Exception {
+    void requestLateInAShutdownIsAnsweredBeforeTheKillWithLongDeadlines() throws Exception {
         lateRequestIsAnswered(4000);
     }
 
     /** What was taken before the signal is owed too: its time ends behind the kill. */
     @Test
-    void aRequestTakenBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
+    void requestAcceptedBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
         int deadline = 4000;
         start(deadline);
-        Peer.Line before = client();
+        Peer.Connection before = client();
         post(before, "01", deadline);
-        Peer.Line got = placeServer.accept();
-        assertEquals("01", got.message().get(2), "it is passed on");
+        Peer.Connection got = placeServer.awaitConnection();
+        assertEquals("01", got.readMessage().get(2), "it is passed on");
         terminate(deadline);
         assertEquals("[-ERR failed]", outcome(before), this::log);
     }
