--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
-import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.CodecException;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.ErrorRedisMessage;
@@ -28,7 +28,7 @@
     /** More arguments than any command has, so that a wrong command is answered as such. */
     private static final int MAX_ARGUMENTS = 16;
 
-    private final SocketChannel channel;
+    private final DuplexChannel channel;
     private final long id;
     private final ListenerContext listener;
     private final EventLoopContext loop;
@@ -41,7 +41,7 @@
     private RespFrameTracker frames;
 
     /** A connection that was accepted; id names it in the event log. */
-    ClientConnection(SocketChannel channel, long id, ListenerContext listener) {
+    ClientConnection(DuplexChannel channel, long id, ListenerContext listener) {
         this.channel = channel;
         this.id = id;
         this.listener = listener;
--- a/src/main/java/quotagateway/client/ClosingSequence.java
+++ b/src/main/java/quotagateway/client/ClosingSequence.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelOutboundBuffer;
-import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.DuplexChannel;
 import java.util.concurrent.TimeUnit;
 import quotagateway.lifecycle.CloseReason;
 
@@ -27,11 +27,11 @@
         OUTPUT_ENDING
     }
 
-    private final SocketChannel channel;
+    private final DuplexChannel channel;
     private State state = State.READING;
     private CloseReason reason = CloseReason.CLOSED_BY_PEER;
 
-    ClosingSequence(SocketChannel channel) {
+    ClosingSequence(DuplexChannel channel) {
         this.channel = channel;
     }
 
--- /dev/null
+++ b/src/test/java/quotagateway/client/ClientConnectionTest.java
@@ -0,0 +1,116 @@
+package quotagateway.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.resp.RespCodec;
+
+class ClientConnectionTest {
+    private static final int LARGE = RespCodec.VALUE + 1000;
+    private static final String LARGE_REQUEST =
+            "*5\r\n$9\r\nCALL.POST\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n$" + LARGE + "\r\n";
+    private static final int LINGER_MS = 200;
+
+    private final ClientSide clients = new ClientSide(10);
+    private final EmbeddedDuplexChannel channel = clients.connect();
+
+    @Test
+    void responsesAreWrittenInTheOrderOfTheCommands() {
+        channel.receive(ClientSide.REQUEST + ClientSide.REQUEST + "*1\r\n$4\r\nPING\r\n");
+        clients.requests.get(1).fail("second");
+        assertEquals("", channel.sent());
+        clients.requests.get(0).fail("first");
+        assertEquals("-ERR first\r\n-ERR second\r\n+PONG\r\n", channel.sent());
+    }
+
+    @Test
+    void refusedCommandIsAnsweredWithItsProblem() {
+        clients.problem = "a number is malformed";
+        channel.receive(ClientSide.REQUEST);
+        assertEquals("-ERR a number is malformed\r\n", channel.sent());
+        assertTrue(channel.isOpen());
+    }
+
+    @Test
+    void unknownCommandsAndBareMessagesAreAnsweredWithAnError() {
+        channel.receive("*1\r\n$3\r\nGET\r\n+hello\r\n*0\r\n");
+        assertEquals("-ERR unknown command\r\n-ERR a command expected\r\n-ERR a command expected\r\n", channel.sent());
+    }
+
+    @Test
+    void unreadableInputFailsOpenRequestsAndEndsTheConnection() {
+        channel.receive(ClientSide.REQUEST);
+        channel.receive("*4\r\n$99999999\r\n");
+        assertEquals("-ERR failed\r\n-ERR malformed\r\n", channel.sent());
+        assertTrue(channel.isOutputShutdown());
+        assertTrue(channel.isOpen());
+        channel.advance(LINGER_MS);
+        assertFalse(channel.isOpen());
+        assertEquals(List.of(CloseReason.MALFORMED), clients.closed);
+    }
+
+    @Test
+    void commandsAreHeldBackWhileTooMuchIsBufferedForAll() {
+        clients.memoryExhausted = true;
+        channel.receive(ClientSide.REQUEST);
+        channel.receive(ClientSide.REQUEST);
+        assertEquals(1, clients.requests.size());
+        clients.memoryExhausted = false;
+        clients.table.resumeReading();
+        channel.runPendingTasks();
+        assertEquals(2, clients.requests.size());
+    }
+
+    @Test
+    void shutdownEndsTheConnectionBehindItsLastResponse() {
+        channel.receive(ClientSide.REQUEST);
+        clients.table.closeAfterResponses();
+        assertFalse(channel.isOutputShutdown());
+        clients.requests.get(0).fail("failed");
+        assertEquals("-ERR failed\r\n", channel.sent());
+        assertTrue(channel.isOutputShutdown());
+        channel.receive(ClientSide.REQUEST);
+        assertEquals(1, clients.requests.size());
+        channel.close();
+        assertEquals(List.of(CloseReason.SHUTDOWN_ANSWERED), clients.closed);
+    }
+
+    @Test
+    void disconnectIsToldToOpenRequestsAlone() {
+        channel.receive(ClientSide.REQUEST + ClientSide.REQUEST);
+        clients.requests.get(0).fail("failed");
+        channel.close();
+        assertFalse(clients.requests.get(0).clientDisconnected);
+        assertTrue(clients.requests.get(1).clientDisconnected);
+        assertTrue(clients.requests.get(1).slot.isDisconnected());
+        assertEquals(List.of(CloseReason.CLOSED_BY_PEER), clients.closed);
+    }
+
+    @Test
+    void commandWithLargeBodyIsTakenOnceEnoughIsBuffered() {
+        channel.receive(LARGE_REQUEST);
+        channel.receive("x".repeat(RespCodec.VALUE - 1));
+        assertEquals(0, clients.requests.size());
+        channel.receive("x");
+        assertEquals(1, clients.requests.size());
+        assertEquals(LARGE, clients.requests.get(0).body.length());
+        assertFalse(clients.requests.get(0).body.isComplete());
+    }
+
+    @Test
+    void largeBodyOfAnAnsweredRequestIsDroppedAndTheNextCommandTaken() {
+        clients.problem = "d is out of range";
+        channel.receive(LARGE_REQUEST);
+        channel.receive("x".repeat(RespCodec.VALUE));
+        assertEquals("-ERR d is out of range\r\n", channel.sent());
+        clients.problem = null;
+        channel.receive("x".repeat(LARGE - RespCodec.VALUE) + "\r\n" + ClientSide.REQUEST);
+        assertEquals(1, clients.requests.size());
+        assertNull(clients.requests.get(0).body);
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/client/ClientSide.java
@@ -0,0 +1,98 @@
+package quotagateway.client;
+
+import io.netty.handler.codec.redis.ArrayRedisMessage;
+import io.netty.handler.codec.redis.ErrorRedisMessage;
+import java.util.ArrayList;
+import java.util.List;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.log.NodeEvent;
+import quotagateway.streaming.RequestBody;
+import quotagateway.transport.ManualEventLoop;
+
+/** Client connections in memory, and a handler of their requests that leaves the responses to the test. */
+final class ClientSide implements ClientRequestHandler {
+    static final String REQUEST = "*4\r\n$8\r\nCALL.GET\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n";
+
+    /** A request that fails when the connection becomes unreadable. */
+    final class Request implements ClientRequest {
+        final ResponseSlot slot;
+        final RequestBody body;
+        boolean clientDisconnected;
+
+        Request(ResponseSlot slot, RequestBody body) {
+            this.slot = slot;
+            this.body = body;
+        }
+
+        @Override
+        public void onClientDisconnected() {
+            clientDisconnected = true;
+        }
+
+        @Override
+        public void onConnectionMalformed() {
+            fail("failed");
+        }
+
+        void fail(String problem) {
+            slot.detachRequest();
+            slot.respond(new ErrorRedisMessage("ERR " + problem));
+            loop.flush();
+        }
+    }
+
+    final ManualEventLoop loop = new ManualEventLoop();
+    final ConnectionTable table;
+    final List<Request> requests = new ArrayList<>();
+    final List<CloseReason> closed = new ArrayList<>();
+    /** What the handler says of the next commands; null where it takes them. */
+    String problem;
+
+    boolean memoryExhausted;
+    private final ListenerContext context;
+    private long connectionCount;
+
+    ClientSide(int limit) {
+        table = new ConnectionTable(loop, limit);
+        context = new ListenerContext(loop, this, table, new ReadAheadBudget(loop), () -> {});
+    }
+
+    /** A new connection of a client. */
+    EmbeddedDuplexChannel connect() {
+        EmbeddedDuplexChannel channel = new EmbeddedDuplexChannel();
+        ClientConnection connection = new ClientConnection(channel, ++connectionCount, context);
+        connection.addHandlers();
+        table.add(connection);
+        return channel;
+    }
+
+    @Override
+    public String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body) {
+        if (problem == null) {
+            Request request = new Request(slot, body);
+            slot.attachRequest(request);
+            requests.add(request);
+        }
+        return problem;
+    }
+
+    @Override
+    public boolean isMemoryExhausted() {
+        return memoryExhausted;
+    }
+
+    @Override
+    public boolean mayListen() {
+        return true;
+    }
+
+    @Override
+    public boolean mayClose(CloseReason reason, int openRequests) {
+        return openRequests == 0 || reason == CloseReason.VALUE_BROKEN_OFF;
+    }
+
+    @Override
+    public void onClientConnectionClosed(NodeEvent.ClientConnectionClosed event) {
+        closed.add(event.reason());
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/client/ConnectionTableTest.java
@@ -0,0 +1,115 @@
+package quotagateway.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import quotagateway.lifecycle.CloseReason;
+
+class ConnectionTableTest {
+    private static final String PING = "*1\r\n$4\r\nPING\r\n";
+    private static final double EVICTABLE_AFTER_MS = 500;
+
+    private final ClientSide clients = new ClientSide(1);
+
+    private EmbeddedDuplexChannel connected(String input) {
+        EmbeddedDuplexChannel channel = clients.connect();
+        channel.receive(input);
+        channel.sent();
+        return channel;
+    }
+
+    @Test
+    void silentConnectionIsEvictedBeforeAnIdleOne() {
+        EmbeddedDuplexChannel idle = connected(PING);
+        EmbeddedDuplexChannel silent = clients.connect();
+        clients.loop.advance(EVICTABLE_AFTER_MS + 1);
+        clients.table.evictBeyondLimit();
+        assertTrue(silent.isOutputShutdown());
+        assertFalse(idle.isOutputShutdown());
+    }
+
+    @Test
+    void newConnectionIsNotEvictedBeforeItsClientHadTheTimeToAsk() {
+        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST);
+        EmbeddedDuplexChannel fresh = clients.connect();
+        clients.loop.advance(EVICTABLE_AFTER_MS);
+        clients.table.evictBeyondLimit();
+        assertFalse(busy.isOutputShutdown());
+        assertFalse(fresh.isOutputShutdown());
+        assertFalse(clients.table.hasCapacity());
+    }
+
+    @Test
+    void connectionIdleForLongestIsEvictedAndOneWithARequestIsNot() {
+        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST);
+        EmbeddedDuplexChannel usedAgain = connected(PING);
+        EmbeddedDuplexChannel idle = connected(PING);
+        usedAgain.receive(PING);
+        clients.table.setLimit(2);
+        clients.table.evictBeyondLimit();
+        assertTrue(idle.isOutputShutdown());
+        assertFalse(usedAgain.isOutputShutdown());
+        assertFalse(busy.isOutputShutdown());
+    }
+
+    @Test
+    void begunFirstCommandIsEvictedLast() {
+        EmbeddedDuplexChannel begun = connected("*4\r\n");
+        EmbeddedDuplexChannel idle = connected(PING);
+        clients.loop.advance(EVICTABLE_AFTER_MS + 1);
+        clients.table.evictBeyondLimit();
+        assertTrue(idle.isOutputShutdown());
+        assertFalse(begun.isOutputShutdown());
+        clients.table.setLimit(0);
+        clients.table.evictBeyondLimit();
+        assertTrue(begun.isOutputShutdown());
+        begun.close();
+        assertTrue(clients.closed.contains(CloseReason.EVICTED));
+    }
+
+    @Test
+    void clientThatSendsNoWholeCommandIsToldSoAndEnded() {
+        EmbeddedDuplexChannel silent = clients.connect();
+        EmbeddedDuplexChannel begun = connected("*4\r\n");
+        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST + "*4\r\n");
+        clients.loop.advance(2500);
+        clients.table.rejectOverdueCommands();
+        assertEquals("", silent.sent());
+        clients.loop.advance(1);
+        clients.table.rejectOverdueCommands();
+        assertEquals("-ERR no whole command came\r\n", silent.sent());
+        assertEquals("-ERR no whole command came\r\n", begun.sent());
+        assertEquals("", busy.sent());
+    }
+
+    @Test
+    void shutdownEndsIdleConnectionsAndWaitsForAFirstCommand() {
+        EmbeddedDuplexChannel idle = connected(PING);
+        EmbeddedDuplexChannel fresh = clients.connect();
+        EmbeddedDuplexChannel begun = connected(PING + "*4\r\n");
+        clients.table.closeIdle();
+        clients.loop.advance(10);
+        assertTrue(idle.isOutputShutdown());
+        assertFalse(fresh.isOutputShutdown());
+        clients.loop.advance(1100);
+        assertTrue(fresh.isOutputShutdown());
+        assertFalse(begun.isOutputShutdown());
+        idle.close();
+        assertEquals(List.of(CloseReason.SHUTDOWN_IDLE), clients.closed);
+    }
+
+    @Test
+    void endOfTheProcessIsToldToAClientWithHalfACommand() {
+        EmbeddedDuplexChannel begun = connected("*4\r\n");
+        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST + "*4\r\n");
+        EmbeddedDuplexChannel idle = connected(PING);
+        clients.table.closeAll();
+        assertEquals("-ERR the edge node ends\r\n", begun.sent());
+        assertTrue(idle.isOutputShutdown());
+        assertFalse(busy.isOutputShutdown());
+        assertFalse(clients.table.isEmpty());
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/client/EmbeddedDuplexChannel.java
@@ -0,0 +1,82 @@
+package quotagateway.client;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelPromise;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.channel.socket.DuplexChannel;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+
+/** A client's connection in memory, of which either side can be shut down. */
+final class EmbeddedDuplexChannel extends EmbeddedChannel implements DuplexChannel {
+    private boolean outputShutDown;
+
+    /** Has a client send text, and the gateway read it. */
+    void receive(String text) {
+        writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+    }
+
+    /** What the gateway has sent since the last call. */
+    String sent() {
+        StringBuilder text = new StringBuilder();
+        for (ByteBuf part = readOutbound(); part != null; part = readOutbound()) {
+            text.append(part.toString(StandardCharsets.UTF_8));
+            part.release();
+        }
+        return text.toString();
+    }
+
+    /** Moves the time of tasks on the channel's own loop on. */
+    void advance(long ms) {
+        advanceTimeBy(ms, TimeUnit.MILLISECONDS);
+        runPendingTasks();
+    }
+
+    @Override
+    public boolean isInputShutdown() {
+        return false;
+    }
+
+    @Override
+    public ChannelFuture shutdownInput() {
+        return shutdownInput(newPromise());
+    }
+
+    @Override
+    public ChannelFuture shutdownInput(ChannelPromise promise) {
+        return promise.setSuccess();
+    }
+
+    @Override
+    public boolean isOutputShutdown() {
+        return outputShutDown;
+    }
+
+    @Override
+    public ChannelFuture shutdownOutput() {
+        return shutdownOutput(newPromise());
+    }
+
+    @Override
+    public ChannelFuture shutdownOutput(ChannelPromise promise) {
+        outputShutDown = true;
+        return promise.setSuccess();
+    }
+
+    @Override
+    public boolean isShutdown() {
+        return outputShutDown && isInputShutdown();
+    }
+
+    @Override
+    public ChannelFuture shutdown() {
+        return shutdown(newPromise());
+    }
+
+    @Override
+    public ChannelFuture shutdown(ChannelPromise promise) {
+        return shutdownOutput(promise);
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/client/ReadAheadTest.java
@@ -0,0 +1,86 @@
+package quotagateway.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.embedded.EmbeddedChannel;
+import org.junit.jupiter.api.Test;
+import quotagateway.transport.ManualEventLoop;
+import quotagateway.transport.Transport;
+
+class ReadAheadTest {
+    private static final int BUDGET_BYTES = 2 << 20;
+
+    private final ManualEventLoop loop = new ManualEventLoop();
+    private final ReadAheadBudget budget = new ReadAheadBudget(loop);
+    private final ReadAhead readAhead = new ReadAhead(budget);
+    private final EmbeddedChannel channel = new EmbeddedChannel(readAhead);
+
+    private static ByteBuf bytes(int size) {
+        return Unpooled.buffer(size, size).writeZero(size);
+    }
+
+    @Test
+    void whatIsReadIsPassedOnInALaterRound() {
+        // not through the channel's pipeline, which runs the next round at once
+        ChannelHandlerContext context = channel.pipeline().context(readAhead);
+        readAhead.channelRead(context, bytes(10));
+        readAhead.channelReadComplete(context);
+        assertFalse(readAhead.isEmpty());
+        assertTrue(channel.inboundMessages().isEmpty());
+        channel.runPendingTasks();
+        assertTrue(readAhead.isEmpty());
+        assertEquals(1, channel.inboundMessages().size());
+        channel.releaseInbound();
+    }
+
+    @Test
+    void connectionHeldBackIsReadUpToItsBoundAndOnAfterIt() {
+        readAhead.holdBack();
+        channel.writeInbound(bytes(Transport.ahead() - 1));
+        assertTrue(channel.config().isAutoRead());
+        channel.writeInbound(bytes(1));
+        assertFalse(channel.config().isAutoRead());
+        assertTrue(channel.inboundMessages().isEmpty());
+        readAhead.resume();
+        channel.runPendingTasks();
+        assertTrue(channel.config().isAutoRead());
+        assertEquals(2, channel.inboundMessages().size());
+        channel.releaseInbound();
+    }
+
+    @Test
+    void sharedBudgetStopsConnectionsThatAreHeldBackUntilItHasCapacity() {
+        EmbeddedChannel running = new EmbeddedChannel(new ReadAhead(budget));
+        budget.add(BUDGET_BYTES);
+        readAhead.holdBack();
+        assertFalse(channel.config().isAutoRead());
+        running.writeInbound(bytes(1));
+        assertTrue(running.config().isAutoRead());
+        loop.advance(50);
+        assertFalse(channel.config().isAutoRead());
+        budget.add(-BUDGET_BYTES);
+        loop.advance(50);
+        assertTrue(channel.config().isAutoRead());
+        running.releaseInbound();
+    }
+
+    @Test
+    void shutDownDropsWhatIsBufferedAndReadsNoMore() {
+        ByteBuf buffered = bytes(BUDGET_BYTES);
+        ByteBuf late = bytes(1);
+        readAhead.holdBack();
+        channel.writeInbound(buffered);
+        assertFalse(budget.hasCapacity());
+        readAhead.shutDown();
+        channel.writeInbound(late);
+        assertEquals(0, buffered.refCnt());
+        assertEquals(0, late.refCnt());
+        assertTrue(budget.hasCapacity());
+        assertFalse(channel.config().isAutoRead());
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/streaming/StreamedResponseTest.java
@@ -0,0 +1,121 @@
+package quotagateway.streaming;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.redis.ErrorRedisMessage;
+import io.netty.handler.codec.redis.RedisEncoder;
+import io.netty.handler.codec.redis.RedisMessage;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import quotagateway.transport.ManualEventLoop;
+
+class StreamedResponseTest {
+    private final ManualEventLoop loop = new ManualEventLoop();
+    private final EmbeddedChannel client = new EmbeddedChannel(new RedisEncoder());
+    private final List<String> events = new ArrayList<>();
+    private boolean reading = true;
+
+    private final ResponseSource source = new ResponseSource() {
+        @Override
+        public void setReading(boolean on) {
+            reading = on;
+        }
+
+        @Override
+        public void stop() {
+            events.add("stop");
+        }
+    };
+
+    private final ResponseSink slot = new ResponseSink() {
+        @Override
+        public void respond(RedisMessage message) {
+            events.add("respond " + ((ErrorRedisMessage) message).content());
+        }
+
+        @Override
+        public void abort() {
+            events.add("abort");
+        }
+
+        @Override
+        public void onStreamCompleted() {
+            events.add("completed");
+        }
+    };
+
+    private final StreamedResponse stream =
+            new StreamedResponse(loop, source, slot, 6, outcome -> events.add("ended " + outcome));
+
+    private static ByteBuf bytes(String text) {
+        return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
+    }
+
+    private String sent() {
+        loop.flush();
+        StringBuilder text = new StringBuilder();
+        for (ByteBuf part = client.readOutbound(); part != null; part = client.readOutbound()) {
+            text.append(part.toString(StandardCharsets.UTF_8));
+            part.release();
+        }
+        return text.toString();
+    }
+
+    @Test
+    void endpointIsReadNoFurtherUntilItIsTheResponsesTurn() {
+        stream.append(bytes("abc"), false);
+        assertFalse(reading);
+        stream.startWriting(client);
+        assertTrue(reading);
+        assertEquals("$6\r\nabc", sent());
+        stream.append(bytes("def"), true);
+        assertEquals("def\r\n", sent());
+        assertEquals(List.of("completed", "ended FULFILLED"), events);
+    }
+
+    @Test
+    void streamThatBreaksOffBeforeItsTurnIsAnsweredWithAnError() {
+        ByteBuf early = bytes("abc");
+        stream.append(early, false);
+        stream.onSourceFailed();
+        assertEquals(0, early.refCnt());
+        assertEquals(List.of("ended FAULTED", "stop", "respond ERR failed"), events);
+    }
+
+    @Test
+    void streamThatBreaksOffMidwayEndsTheClientsConnection() {
+        stream.startWriting(client);
+        stream.append(bytes("abc"), false);
+        stream.onSourceFailed();
+        stream.onSourceFailed();
+        assertEquals(List.of("ended FAULTED", "stop", "abort"), events);
+    }
+
+    @Test
+    void streamWithoutProgressIsEnded() {
+        stream.startWriting(client);
+        loop.advance(4900);
+        stream.append(bytes("abc"), false);
+        loop.advance(5000);
+        assertEquals(List.of(), events);
+        loop.advance(1000);
+        assertEquals(List.of("ended FAULTED", "stop", "abort"), events);
+    }
+
+    @Test
+    void disconnectOfTheClientStopsTheSourceWithoutAnOutcome() {
+        stream.append(bytes("abc"), false);
+        stream.onClientDisconnected();
+        ByteBuf late = bytes("def");
+        stream.append(late, true);
+        assertEquals(0, late.refCnt());
+        assertEquals(List.of("ended null", "stop"), events);
+    }
+}
