--- a/src/main/java/quotagateway/upstream/Attempt.java
+++ b/src/main/java/quotagateway/upstream/Attempt.java
@@ -16,7 +16,8 @@
     /** Set when it has ended. */
     public CallOutcome outcome;
 
-    EndpointPool.EndpointConnection connection;
+    private EndpointConnection connection;
+    private boolean written;
 
     public Attempt(UpstreamRequest request, int number, String server, double sent, EndpointDescriptor place) {
         this.descriptor = place;
@@ -25,4 +26,28 @@
         this.endpoint = server;
         this.sentAt = sent;
     }
+
+    /** Whether a large body follows its command. */
+    boolean hasLargeBody() {
+        return request != null && request.body() != null;
+    }
+
+    /** A connection writes it. */
+    void onSend(EndpointConnection writer) {
+        connection = writer;
+    }
+
+    /** The connection that it is written on; null while it waits for one. */
+    EndpointConnection connection() {
+        return connection;
+    }
+
+    /** Its last byte has been written. */
+    void onWritten() {
+        written = true;
+    }
+
+    boolean isWritten() {
+        return written;
+    }
 }
--- a/src/test/java/quotagateway/upstream/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/quotagateway/upstream/IdleTimeoutEstimatorTest.java
@@ -8,12 +8,12 @@
 class IdleTimeoutEstimatorTest {
     private static void use(IdleTimeoutEstimator limit, double idle, int served, int reset) {
         for (int i = 0; i < served + reset; i++) {
-            limit.usedAgain(idle, i >= served);
+            limit.recordReuse(idle, i >= served);
         }
     }
 
     @Test
-    void anAgeAtWhichConnectionsAreFoundDeadIsGivenUpAndAllOlder() {
+    void idleTimeWithManyResetsIsGivenUpAndAllLongerOnes() {
         IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 30, 100, 4);
         use(limit, 150, 20, 10);
@@ -23,30 +23,30 @@
     }
 
     @Test
-    void resetsThatNewConnectionsSeeTooAreNoReason() {
+    void resetsThatNewConnectionsSeeTooGiveNoIdleTimeUp() {
         IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         for (int i = 0; i < 100; i++) {
-            limit.usedNew(i % 5 == 0);
+            limit.recordFirstUse(i % 5 == 0);
         }
         use(limit, 150, 70, 30);
         assertTrue(limit.allows(5000));
     }
 
     @Test
-    void aFewResetsMayBeChance() {
+    void fewResetsGiveNoIdleTimeUp() {
         IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 150, 2, 2);
         assertTrue(limit.allows(150));
     }
 
     @Test
-    void anAgeIsTriedAgainOnceWhatWasSeenIsOld() {
+    void idleTimeGivenUpIsTriedAgainOnceItsResetsAreOld() {
         IdleTimeoutEstimator limit = new IdleTimeoutEstimator();
         use(limit, 150, 10, 10);
         assertFalse(limit.allows(150));
-        limit.fade(0.5);
+        limit.decay(0.5);
         assertFalse(limit.allows(150));
-        limit.fade(0.3);
+        limit.decay(0.3);
         assertTrue(limit.allows(150));
     }
 }
