--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -60,11 +60,25 @@
             EventLoopGroup group,
             GatewayConfig config,
             int maxConnections) {
+        this(
+                loop,
+                listener,
+                new SocketEndpointConnector(group, (int) config.connectTimeoutMs()),
+                config,
+                maxConnections);
+    }
+
+    EndpointPool(
+            EventLoopContext loop,
+            EndpointPoolListener listener,
+            EndpointConnector connector,
+            GatewayConfig config,
+            int maxConnections) {
         this.loop = loop;
         this.listener = listener;
         this.maxConnections = maxConnections;
         keepAliveMs = config.keepAliveMs();
-        connector = new EndpointConnector(group, (int) config.connectTimeoutMs());
+        this.connector = connector;
         replies = new EndpointReplyParser(
                 loop, new LoadReportParser(config.settings().loadFields()));
     }
