--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -399,7 +399,7 @@
         SendDenial denial = guard.denial(r, a, now());
         if (denial != null) {
             metrics.countDenied(denial);
-            logEvent(new NodeEvent.AttemptDenied(r.parsed.id(), a.number, denial));
+            logEvent(new NodeEvent.AttemptDenied(r.parsed.id(), a.number(), denial));
         }
         return denial != null;
     }
@@ -669,10 +669,10 @@
         if (outcome == CallOutcome.OK && !r.completed) {
             answerOnce(r, ReferenceCountUtil.retain(value), RequestOutcome.FULFILLED, null);
         }
-        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number, a.endpoint, outcome, now - a.sentAt));
-        a.outcome = outcome;
-        boolean told =
-                notifyPolicy(m -> m.onAttemptEnded(now, r.id, a.number, outcome, now - a.sentAt, r.completed, 0, load));
+        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number(), a.endpoint(), outcome, now - a.sentAt()));
+        a.recordOutcome(outcome);
+        boolean told = notifyPolicy(
+                m -> m.onAttemptEnded(now, r.id, a.number(), outcome, now - a.sentAt(), r.completed, 0, load));
         if (!told) {
             failUnlessCompleted(r, FailureReason.NO_DECISION);
         }
@@ -687,8 +687,8 @@
         r.inFlight--;
         double now = now();
         StreamedResponse stream = null;
-        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number, a.endpoint, CallOutcome.OK, now - a.sentAt));
-        a.outcome = CallOutcome.OK;
+        logEvent(new NodeEvent.AttemptEnded(r.parsed.id(), a.number(), a.endpoint(), CallOutcome.OK, now - a.sentAt()));
+        a.recordOutcome(CallOutcome.OK);
         if (!r.completed) {
             complete(r);
             openRequests++; // until the stream ends
@@ -696,8 +696,8 @@
                     this, from, r.slot, length, outcome -> onStreamEnded(r.parsed.requestClass(), outcome));
             r.slot.respondWith(stream);
         }
-        notifyPolicy(m ->
-                m.onAttemptEnded(now, r.id, a.number, CallOutcome.OK, now - a.sentAt, true, 0, EndpointPool.NO_LOAD));
+        notifyPolicy(m -> m.onAttemptEnded(
+                now, r.id, a.number(), CallOutcome.OK, now - a.sentAt(), true, 0, EndpointPool.NO_LOAD));
         settle(r);
         return stream;
     }
@@ -807,17 +807,18 @@
         r.attempts.add(a);
         r.inFlight++;
         if (denies(r, a)) {
-            a.ended = true;
+            a.end();
             execute(() -> onAttemptEnded(r, a, CallOutcome.NOT_SENT, null, EndpointPool.NO_LOAD));
             return;
         }
-        CallOutcome after = a.number == 0 ? null : r.attempts.get(a.number - 1).outcome;
-        logEvent(new NodeEvent.AttemptSent(r.parsed.id(), a.number, server, after));
+        CallOutcome after =
+                a.number() == 0 ? null : r.attempts.get(a.number() - 1).outcome();
+        logEvent(new NodeEvent.AttemptSent(r.parsed.id(), a.number(), server, after));
         if (after != null) {
             metrics.countRetry(after);
         }
         if (until > 0 && until < r.deadline) {
-            schedule(until - a.sentAt, () -> endpoints.abandon(a, CallOutcome.TIMEOUT));
+            schedule(until - a.sentAt(), () -> endpoints.abandon(a, CallOutcome.TIMEOUT));
         }
         endpoints.send(a);
     }
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -122,11 +122,11 @@
         if (now >= r.deadline) {
             return SendDenial.NO_TIME;
         }
-        if (a.number >= allowed.maxAttempts()) {
+        if (a.number() >= allowed.maxAttempts()) {
             return SendDenial.ATTEMPTS_USED;
         }
         RequestClass type = classes.get(r.parsed.requestClass());
-        for (Attempt before : r.attempts.subList(0, a.number)) {
+        for (Attempt before : r.attempts.subList(0, a.number())) {
             SendDenial denial = repeat(type, before, a, now);
             if (denial != null) {
                 return denial;
@@ -137,21 +137,21 @@
 
     /** Why an attempt may not follow this one before it; null where it may. */
     SendDenial repeat(RequestClass type, Attempt before, Attempt next, double now) {
-        boolean out = !before.ended;
+        boolean out = !before.isEnded();
         if (out && !allowed.hedging()) {
             return SendDenial.COPY_OUT;
         }
-        boolean ran = out || (before.outcome != null && !before.outcome.provesNotExecuted);
+        boolean ran = out || (before.outcome() != null && !before.outcome().provesNotExecuted);
         if (!ran || (type != null && type.idempotency() == Idempotency.IDEMPOTENT)) {
             return null;
         }
         if (type == null || type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return SendDenial.NOT_REPEATABLE;
         }
-        if (now - before.sentAt >= type.idempotencyWindow() - HOLD_UP) {
+        if (now - before.sentAt() >= type.idempotencyWindow() - HOLD_UP) {
             return SendDenial.WINDOW_OVER;
         }
-        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.descriptor, next.descriptor)
+        return type.retriesStayInScope() && !sameGroup(type.retryScope(), before.descriptor(), next.descriptor())
                 ? SendDenial.OTHER_GROUP
                 : null;
     }
--- a/src/main/java/quotagateway/upstream/EndpointConnection.java
+++ b/src/main/java/quotagateway/upstream/EndpointConnection.java
@@ -122,14 +122,14 @@
         replyBegun = false;
         next.onSend(this);
         usage.onUse(loop.now());
-        if (next.request == null) {
+        if (next.isHealthCheck()) {
             notifyWritten(next, channel.write(RespCodec.command(channel.alloc(), "INFO", "load")));
         } else {
-            ArrayRedisMessage command = next.request.encode(channel.alloc());
-            if (next.request.body() == null) {
+            ArrayRedisMessage command = next.request().encode(channel.alloc());
+            if (next.request().body() == null) {
                 notifyWritten(next, channel.write(command));
             } else {
-                writeWithBody(command, next.request.body());
+                writeWithBody(command, next.request().body());
             }
         }
         loop.flushLater(channel);
@@ -154,8 +154,8 @@
                 if (attempt == sent) {
                     sent.onWritten();
                 }
-                if (sent.request != null) {
-                    sent.request.onAttemptWritten();
+                if (!sent.isHealthCheck()) {
+                    sent.request().onAttemptWritten();
                 }
             }
         });
@@ -180,7 +180,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (attempt != null && attempt.hasLargeBody()) {
-            attempt.request.body().setWritable(channel.isWritable());
+            attempt.request().body().setWritable(channel.isWritable());
         }
     }
 
@@ -285,13 +285,13 @@
     @Override
     public boolean onValueStarted(int length) {
         Attempt sent = attempt;
-        if (sent == null || !sent.isWritten() || sent.request == null) {
+        if (sent == null || !sent.isWritten() || sent.isHealthCheck()) {
             return false;
         }
         attempt = null;
-        sent.ended = true;
+        sent.end();
         usage.recordReply();
-        stream = sent.request.onStreamStarted(sent, length, this);
+        stream = sent.request().onStreamStarted(sent, length, this);
         return stream != null;
     }
 
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -192,7 +192,7 @@
 
     /** Sends an attempt, or has it wait for a connection. Its request is told how it ends, and never from in here. */
     public void send(Attempt attempt) {
-        PooledEndpoint endpoint = endpoints.get(attempt.endpoint);
+        PooledEndpoint endpoint = endpoints.get(attempt.endpoint());
         if (endpoint == null || !endpoint.isInUse()) {
             endLater(attempt, CallOutcome.NO_CONNECTION);
         } else if (!endpoint.writeOnIdleConnection(attempt)) {
@@ -214,14 +214,14 @@
 
     /** Asks an endpoint for its load; the listener is told of the reply, or that none came in time. */
     public void checkHealth(String id) {
-        Attempt check = new Attempt(null, 0, id, loop.now(), null);
+        Attempt check = Attempt.healthCheck(id, loop.now());
         loop.schedule(HEALTH_CHECK_TIMEOUT_MS, () -> abandon(check, CallOutcome.TIMEOUT));
         send(check);
     }
 
     /** Stops waiting for an attempt. One that was not written whole cannot have been executed. */
     public void abandon(Attempt attempt, CallOutcome outcome) {
-        if (attempt.ended) {
+        if (attempt.isEnded()) {
             return;
         }
         EndpointConnection connection = attempt.connection();
@@ -231,7 +231,7 @@
             connection.abandonAttempt();
             return;
         }
-        PooledEndpoint endpoint = endpoints.get(attempt.endpoint);
+        PooledEndpoint endpoint = endpoints.get(attempt.endpoint());
         if (endpoint != null) {
             endpoint.removeWaiting(attempt);
         }
@@ -246,7 +246,7 @@
 
     /** Parses the reply to an attempt or a health check; null where it is in none of the protocol's forms. */
     EndpointReply parseReply(Attempt attempt, RedisMessage message) {
-        return attempt.request == null ? replies.parseHealthCheck(message) : replies.parseResponse(message);
+        return attempt.isHealthCheck() ? replies.parseHealthCheck(message) : replies.parseResponse(message);
     }
 
     /** Ends an attempt or a health check in a later round of the loop: what is deciding on it now goes first. */
@@ -256,14 +256,14 @@
 
     /** Ends an attempt or a health check; one that has ended stays as it is. */
     void end(Attempt attempt, EndpointReply reply) {
-        if (attempt.ended) {
+        if (attempt.isEnded()) {
             return;
         }
-        attempt.ended = true;
-        if (attempt.request == null) {
-            listener.onHealthCheck(attempt.endpoint, reply.outcome(), loop.now() - attempt.sentAt, reply.load());
+        attempt.end();
+        if (attempt.isHealthCheck()) {
+            listener.onHealthCheck(attempt.endpoint(), reply.outcome(), loop.now() - attempt.sentAt(), reply.load());
         } else {
-            attempt.request.onAttemptEnded(attempt, reply.outcome(), reply.value(), reply.load());
+            attempt.request().onAttemptEnded(attempt, reply.outcome(), reply.value(), reply.load());
         }
     }
 
--- a/src/main/java/quotagateway/upstream/PooledEndpoint.java
+++ b/src/main/java/quotagateway/upstream/PooledEndpoint.java
@@ -142,7 +142,7 @@
     }
 
     private boolean endIfDenied(Attempt attempt) {
-        boolean denied = attempt.request != null && attempt.request.denies(attempt);
+        boolean denied = !attempt.isHealthCheck() && attempt.request().denies(attempt);
         if (denied) {
             pool.endLater(attempt, CallOutcome.NOT_SENT);
         }
--- a/src/test/java/quotagateway/node/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -46,8 +46,10 @@
     /** An attempt sent at 0, that has ended so; null where it is out. */
     private static Attempt before(CallOutcome outcome, EndpointDescriptor place) {
         Attempt attempt = new Attempt(null, 0, "s", 0, place);
-        attempt.outcome = outcome;
-        attempt.ended = outcome != null;
+        attempt.recordOutcome(outcome);
+        if (outcome != null) {
+            attempt.end();
+        }
         return attempt;
     }
 
