--- a/src/main/java/quotagateway/client/ClientRequestHandler.java
+++ b/src/main/java/quotagateway/client/ClientRequestHandler.java
@@ -5,11 +5,11 @@
 import quotagateway.log.NodeEvent;
 import quotagateway.streaming.RequestBody;
 
-/** Whom the clients' connections give their commands to, and ask what they may do. Called on the event loop. */
+/** Takes the requests of clients' connections, and says what the connections may do. Called on the event loop. */
 public interface ClientRequestHandler {
     /**
-     * Takes a request over, with the large value that comes with it, or null for none. Its response is given to the
-     * slot. Returns what is wrong with the command, for the client to read, or null where it was taken.
+     * Takes a request over, with its large body or null; its response is given to the slot, now or later. Returns
+     * what is wrong with the command, for the client to read, or null where it was taken.
      */
     String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body);
 
@@ -19,9 +19,9 @@
     /** Whether the node may still begin to listen. */
     boolean mayListen();
 
-    /** Whether a connection with so many open requests may be closed for this reason. */
+    /** Whether a connection with so many open requests may be ended for this reason. */
     boolean mayClose(CloseReason reason, int openRequests);
 
-    /** A client's connection has ended. */
+    /** A client's connection has ended; its open requests are told next. */
     void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed);
 }
--- a/src/main/java/quotagateway/upstream/EndpointPoolListener.java
+++ b/src/main/java/quotagateway/upstream/EndpointPoolListener.java
@@ -3,11 +3,11 @@
 import quotagateway.lifecycle.CloseReason;
 import quotagateway.policy.api.CallOutcome;
 
-/** Who is told what belongs to no request of a client. */
+/** Hears of what happens at endpoints and belongs to no client's request. Called on the event loop. */
 public interface EndpointPoolListener {
-    /** A health check has ended, after so long (ms), with the load report that came. */
+    /** A health check has ended, after so long (ms), with the load report that came, empty where none did. */
     void onHealthCheck(String endpoint, CallOutcome outcome, double tookMs, double[] load);
 
-    /** A connection to an endpoint has ended. */
+    /** A connection that had come up has ended, for this reason. */
     void onEndpointConnectionClosed(String endpoint, CloseReason reason);
 }
