--- a/src/main/java/quotagateway/node/AttemptHandler.java
+++ b/src/main/java/quotagateway/node/AttemptHandler.java
@@ -54,14 +54,15 @@
         Attempt attempt = new Attempt(request, number, endpoint, loop.now(), endpoints.descriptor(endpoint));
         request.onAttemptStarted(attempt);
         if (denies(request, attempt)) {
-            attempt.ended = true;
+            attempt.end();
             loop.execute(() -> onEnded(request, attempt, CallOutcome.NOT_SENT, null, EndpointPool.NO_LOAD));
             return;
         }
-        CallOutcome previous = number == 0 ? null : request.attempts().get(number - 1).outcome;
+        CallOutcome previous =
+                number == 0 ? null : request.attempts().get(number - 1).outcome();
         telemetry.onAttemptSent(request.command(), attempt, previous);
         if (timeoutAtMs > 0 && timeoutAtMs < request.deadline().dueAtMs()) {
-            loop.schedule(timeoutAtMs - attempt.sentAt, () -> endpoints.abandon(attempt, CallOutcome.TIMEOUT));
+            loop.schedule(timeoutAtMs - attempt.sentAt(), () -> endpoints.abandon(attempt, CallOutcome.TIMEOUT));
         }
         endpoints.send(attempt);
     }
@@ -112,8 +113,8 @@
         } else if (!request.isCompleted()) {
             requests.respond(request, ReferenceCountUtil.retain(value), RequestOutcome.FULFILLED, null);
         }
-        attempt.outcome = outcome;
-        telemetry.onAttemptEnded(request.command(), attempt, outcome, now - attempt.sentAt);
+        attempt.recordOutcome(outcome);
+        telemetry.onAttemptEnded(request.command(), attempt, outcome, now - attempt.sentAt());
         if (!tellPolicyOfEnd(request, attempt, now, load)) {
             requests.failUndecided(request);
         }
@@ -129,8 +130,8 @@
     StreamedResponse onStreamStarted(ActiveRequest request, Attempt attempt, int length, ResponseSource source) {
         request.onAttemptFinished();
         double now = loop.now();
-        attempt.outcome = CallOutcome.OK;
-        telemetry.onAttemptEnded(request.command(), attempt, CallOutcome.OK, now - attempt.sentAt);
+        attempt.recordOutcome(CallOutcome.OK);
+        telemetry.onAttemptEnded(request.command(), attempt, CallOutcome.OK, now - attempt.sentAt());
         StreamedResponse stream = request.isCompleted() ? null : requests.respondByStream(request, length, source);
         tellPolicyOfEnd(request, attempt, now, EndpointPool.NO_LOAD); // the response stands, whatever becomes of it
         requests.settle(request);
@@ -142,9 +143,9 @@
         return policy.tell(p -> p.onAttemptEnded(
                 now,
                 request.id(),
-                attempt.number,
-                attempt.outcome,
-                now - attempt.sentAt,
+                attempt.number(),
+                attempt.outcome(),
+                now - attempt.sentAt(),
                 request.isCompleted(),
                 NO_ACTUAL_UNITS,
                 load));
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -137,11 +137,11 @@
         if (request.deadline().hasPassed(now)) {
             return Optional.of(SendDenial.NO_TIME);
         }
-        if (attempt.number >= capabilities.maxAttempts()) {
+        if (attempt.number() >= capabilities.maxAttempts()) {
             return Optional.of(SendDenial.ATTEMPTS_USED);
         }
         RequestClass requestClass = requestClasses.get(request.command().requestClass());
-        for (int i = 0; i < attempt.number; i++) {
+        for (int i = 0; i < attempt.number(); i++) {
             Optional<SendDenial> denial =
                     denialOfRetry(requestClass, request.attempts().get(i), attempt, now);
             if (denial.isPresent()) {
@@ -157,22 +157,22 @@
      * @param requestClass the request's, or null where the settings have none of its name
      */
     Optional<SendDenial> denialOfRetry(RequestClass requestClass, Attempt earlier, Attempt next, double now) {
-        boolean inFlight = !earlier.ended;
+        boolean inFlight = !earlier.isEnded();
         if (inFlight && !capabilities.hedging()) {
             return Optional.of(SendDenial.COPY_OUT);
         }
-        boolean mayHaveRun = inFlight || (earlier.outcome != null && !earlier.outcome.provesNotExecuted);
+        boolean mayHaveRun = inFlight || (earlier.outcome() != null && !earlier.outcome().provesNotExecuted);
         if (!mayHaveRun || (requestClass != null && requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
             return Optional.empty();
         }
         if (requestClass == null || requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return Optional.of(SendDenial.NOT_REPEATABLE);
         }
-        if (now - earlier.sentAt >= requestClass.idempotencyWindow() - MAX_NODE_STALL_MS) {
+        if (now - earlier.sentAt() >= requestClass.idempotencyWindow() - MAX_NODE_STALL_MS) {
             return Optional.of(SendDenial.WINDOW_OVER);
         }
         boolean leavesScope = requestClass.retriesStayInScope()
-                && !inSameScope(requestClass.retryScope(), earlier.descriptor, next.descriptor);
+                && !inSameScope(requestClass.retryScope(), earlier.descriptor(), next.descriptor());
         return leavesScope ? Optional.of(SendDenial.OTHER_GROUP) : Optional.empty();
     }
 
--- a/src/main/java/quotagateway/node/NodeTelemetry.java
+++ b/src/main/java/quotagateway/node/NodeTelemetry.java
@@ -107,13 +107,13 @@
         if (previous != null) {
             metrics.countRetry(previous);
         }
-        record(new NodeEvent.AttemptSent(command.id(), attempt.number, attempt.endpoint, previous));
+        record(new NodeEvent.AttemptSent(command.id(), attempt.number(), attempt.endpoint(), previous));
     }
 
     /** An attempt that the policy has decided on is not sent. */
     void onAttemptDenied(ClientCommand command, Attempt attempt, SendDenial denial) {
         metrics.countDenied(denial);
-        record(new NodeEvent.AttemptDenied(command.id(), attempt.number, denial));
+        record(new NodeEvent.AttemptDenied(command.id(), attempt.number(), denial));
     }
 
     /** The last byte of an attempt is written. */
@@ -123,7 +123,7 @@
 
     /** An attempt has ended, so long (ms) after it was sent. */
     void onAttemptEnded(ClientCommand command, Attempt attempt, CallOutcome outcome, double tookMs) {
-        record(new NodeEvent.AttemptEnded(command.id(), attempt.number, attempt.endpoint, outcome, tookMs));
+        record(new NodeEvent.AttemptEnded(command.id(), attempt.number(), attempt.endpoint(), outcome, tookMs));
     }
 
     // ---- connections ----
--- a/src/test/java/quotagateway/node/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -47,8 +47,10 @@
     /** An attempt sent at 0 that has ended with this outcome, or is in flight where that is null. */
     private static Attempt earlier(CallOutcome outcome, EndpointDescriptor endpoint) {
         Attempt attempt = new Attempt(null, 0, "s", 0, endpoint);
-        attempt.outcome = outcome;
-        attempt.ended = outcome != null;
+        attempt.recordOutcome(outcome);
+        if (outcome != null) {
+            attempt.end();
+        }
         return attempt;
     }
 
