--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -122,7 +122,7 @@
                     protected void initChannel(SocketChannel channel) {
                         ClientConnection c = new ClientConnection(channel);
                         channel.pipeline().addLast(c.ahead);
-                        c.raw = RespCodec.codec(channel.pipeline(), MOST_WORDS, c);
+                        c.raw = RespCodec.addHandlers(channel.pipeline(), MOST_WORDS, c);
                         channel.pipeline().addLast(c);
                         open.add(c);
                         silent.add(c);
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -99,7 +99,7 @@
         ChannelFuture connected = client.connector().connect(address.address(), new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel opened) {
-                frames = RespCodec.codec(opened.pipeline(), CounterProtocol.MAX_REPLY_ELEMENTS);
+                frames = RespCodec.addHandlers(opened.pipeline(), CounterProtocol.MAX_REPLY_ELEMENTS);
                 opened.pipeline().addLast(new ReplyHandler());
             }
         });
--- a/src/main/java/quotagateway/resp/RespFrameTracker.java
+++ b/src/main/java/quotagateway/resp/RespFrameTracker.java
@@ -5,24 +5,27 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.redis.RedisMessage;
 
-/** Counts what comes in before it is decoded, as the decoder hides half a message. */
+/** Counts the bytes that come in before they are decoded, as the decoder does not tell of part of a message. */
 public final class RespFrameTracker extends ChannelInboundHandlerAdapter {
     /** Bytes that have come and belong to no whole message yet. */
     public long pendingBytes;
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        pendingBytes += ((ByteBuf) msg).readableBytes();
-        ctx.fireChannelRead(msg);
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        pendingBytes += ((ByteBuf) message).readableBytes();
+        ctx.fireChannelRead(message);
     }
 
-    /** A large value has come; the message will count an empty one in its place. */
-    void large(int size) {
-        pendingBytes -= RespCodec.digits(size) - RespCodec.digits(0) + size;
+    /** A value was passed on as it came; an empty one stands for it in its message, and is counted there. */
+    void onLargeValue(int contentBytes) {
+        pendingBytes -= RespLength.ofBulkString(contentBytes) - RespLength.ofBulkString(0);
     }
 
-    /** A whole message has come; one in another than the shortest form leaves a difference for good. */
+    /**
+     * Takes a whole message off the count; the owner of the connection calls it for each. A message that came in
+     * another than the shortest form leaves the difference in the count for good.
+     */
     public void onMessageComplete(RedisMessage message) {
-        pendingBytes -= RespCodec.length(message);
+        pendingBytes -= RespLength.of(message);
     }
 }
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -64,8 +64,8 @@
 
     private JitWarmup(PolicySettings settings, PolicyFactory maker) {
         this.settings = settings;
-        RespCodec.codec(client.pipeline(), MOST);
-        RespCodec.codec(server.pipeline(), MOST);
+        RespCodec.addHandlers(client.pipeline(), MOST);
+        RespCodec.addHandlers(server.pipeline(), MOST);
         module = maker.create(settings, 1, now, this);
         List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
--- a/src/main/java/quotagateway/streaming/RequestBody.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -13,7 +13,7 @@
 public final class RequestBody {
 
     /** So much is kept (bytes) before a server is looked for, and no more. */
-    public static final int MAX_BUFFERED_BYTES = RespCodec.VALUE;
+    public static final int MAX_BUFFERED_BYTES = RespCodec.MAX_BUFFERED_VALUE_BYTES;
 
     private final int length;
     private final double begunAt;
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -395,7 +395,7 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         link.channel = channel;
-                        link.raw = RespCodec.codec(channel.pipeline(), MOST_ELEMENTS, link);
+                        link.raw = RespCodec.addHandlers(channel.pipeline(), MOST_ELEMENTS, link);
                         channel.pipeline().addLast(link);
                     }
                 })
