--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -454,7 +454,7 @@
 
         /** Something has come that is no whole command yet, or has not been looked at. */
         private boolean begun() {
-            return raw.pendingBytes != 0 || !ahead.isEmpty();
+            return raw.pendingBytes() != 0 || !ahead.isEmpty();
         }
 
         /** Bytes written and not taken over by the system, as the client reads slowly. */
@@ -550,7 +550,7 @@
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (body != null) {
                 silentFrom = loop.now();
-            } else if (raw.pendingBytes == 0) {
+            } else if (raw.pendingBytes() == 0) {
                 silentFrom = silent.contains(this) ? silentFrom : Double.MAX_VALUE;
             } else if (silentFrom == Double.MAX_VALUE) {
                 silentFrom = loop.now();
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -87,7 +87,7 @@
 
     /** Whether part of a reply has come, and not its end. */
     boolean hasPartialReply() {
-        return channel != null && frames.pendingBytes != 0;
+        return channel != null && frames.pendingBytes() != 0;
     }
 
     /** Opens the connection, unless its address was replaced meanwhile. */
--- a/src/main/java/quotagateway/resp/RespFrameTracker.java
+++ b/src/main/java/quotagateway/resp/RespFrameTracker.java
@@ -7,8 +7,12 @@
 
 /** Counts the bytes that come in before they are decoded, as the decoder does not tell of part of a message. */
 public final class RespFrameTracker extends ChannelInboundHandlerAdapter {
+    private long pendingBytes;
+
     /** Bytes that have come and belong to no whole message yet. */
-    public long pendingBytes;
+    public long pendingBytes() {
+        return pendingBytes;
+    }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
--- a/src/main/java/quotagateway/upstream/EndpointPool.java
+++ b/src/main/java/quotagateway/upstream/EndpointPool.java
@@ -647,11 +647,11 @@
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (stream == null && current == null && raw.pendingBytes != 0) {
+            if (stream == null && current == null && raw.pendingBytes() != 0) {
                 close(CloseReason.UNASKED);
             } else if (answered) {
                 free();
-            } else if (current != null && raw.pendingBytes != 0 && !begun) {
+            } else if (current != null && raw.pendingBytes() != 0 && !begun) {
                 begun = true;
                 incomplete(current);
             }
@@ -661,13 +661,13 @@
 
         /** Half an answer has come, of an attempt or behind a large value: waited for while it grows. */
         private void incomplete(Attempt a) {
-            long before = raw.pendingBytes;
+            long before = raw.pendingBytes();
             StreamedResponse value = stream;
             loop.schedule(WHOLE_WITHIN, () -> {
                 if (current != a || stream != value || (a == null && value == null)) {
                     return;
                 }
-                if (raw.pendingBytes != before) {
+                if (raw.pendingBytes() != before) {
                     incomplete(a);
                 } else {
                     spoilt();
@@ -707,7 +707,7 @@
                 value.onSourceFailed();
             }
             if (a != null) {
-                if (written && raw.pendingBytes == 0) {
+                if (written && raw.pendingBytes() == 0) {
                     learn(true);
                 }
                 end(a, written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, null, NO_LOAD);
--- a/src/test/java/quotagateway/resp/RespCodecTest.java
+++ b/src/test/java/quotagateway/resp/RespCodecTest.java
@@ -82,12 +82,12 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i++) {
             assertNull(channel.readInbound());
-            assertEquals(i, frames.pendingBytes);
+            assertEquals(i, frames.pendingBytes());
             channel.writeInbound(Unpooled.copiedBuffer(bytes, i, 1));
         }
         RedisMessage message = channel.readInbound();
         frames.onMessageComplete(message);
-        assertEquals(0, frames.pendingBytes);
+        assertEquals(0, frames.pendingBytes());
         ReferenceCountUtil.release(message);
     }
 
@@ -104,7 +104,7 @@
         assertEquals("", RespCodec.text(message.children().get(1)));
         assertEquals("end", RespCodec.text(message.children().get(2)));
         frames.onMessageComplete(message);
-        assertEquals(0, frames.pendingBytes);
+        assertEquals(0, frames.pendingBytes());
         ReferenceCountUtil.release(message);
     }
 
