--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -58,7 +58,7 @@
     void addHandlers() {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addLast(readAhead);
-        frames = RespCodec.codec(pipeline, MAX_ARGUMENTS, largeBody);
+        frames = RespCodec.addHandlers(pipeline, MAX_ARGUMENTS, largeBody);
         pipeline.addLast(this);
     }
 
@@ -130,7 +130,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (largeBody.isReceiving()) {
             timer.restart();
-        } else if (frames.pendingBytes != 0) {
+        } else if (frames.pendingBytes() != 0) {
             timer.startUnlessWaiting();
         } else if (!listener.connections().isAwaitingFirstCommand(this)) {
             timer.stop();
@@ -195,7 +195,7 @@
 
     /** Whether something has come that is no whole command yet, or has not been looked at. */
     boolean isCommandBegun() {
-        return frames.pendingBytes != 0 || !readAhead.isEmpty();
+        return frames.pendingBytes() != 0 || !readAhead.isEmpty();
     }
 
     /** Whether the connection is between requests: no response is owed, and nothing of a command has come. */
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -87,7 +87,7 @@
 
     /** Whether part of a reply has come, and not its end. */
     boolean hasPartialReply() {
-        return channel != null && frames.pendingBytes != 0;
+        return channel != null && frames.pendingBytes() != 0;
     }
 
     /** Opens the connection, unless its address was replaced meanwhile. */
@@ -99,7 +99,7 @@
         ChannelFuture connected = client.connector().connect(address.address(), new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel opened) {
-                frames = RespCodec.codec(opened.pipeline(), CounterProtocol.MAX_REPLY_ELEMENTS);
+                frames = RespCodec.addHandlers(opened.pipeline(), CounterProtocol.MAX_REPLY_ELEMENTS);
                 opened.pipeline().addLast(new ReplyHandler());
             }
         });
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -69,8 +69,8 @@
 
     private JitWarmup(PolicySettings settings, PolicyFactory policyFactory) {
         this.settings = settings;
-        RespCodec.codec(clientChannel.pipeline(), MAX_ELEMENTS);
-        RespCodec.codec(endpointChannel.pipeline(), MAX_ELEMENTS);
+        RespCodec.addHandlers(clientChannel.pipeline(), MAX_ELEMENTS);
+        RespCodec.addHandlers(endpointChannel.pipeline(), MAX_ELEMENTS);
         policy = policyFactory.create(settings, 1, now, this);
         List<EndpointDescriptor> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
--- a/src/main/java/quotagateway/streaming/RequestBody.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -12,7 +12,7 @@
  */
 public final class RequestBody {
     /** So much is buffered before an endpoint is looked for, and no more; a smaller body comes with its command. */
-    public static final int MAX_BUFFERED_BYTES = RespCodec.VALUE;
+    public static final int MAX_BUFFERED_BYTES = RespCodec.MAX_BUFFERED_VALUE_BYTES;
 
     /** What becomes of the parts that come. */
     private enum State {
--- a/src/main/java/quotagateway/upstream/EndpointConnection.java
+++ b/src/main/java/quotagateway/upstream/EndpointConnection.java
@@ -62,7 +62,7 @@
     /** Adds its handlers to the channel that is to be connected; called once. */
     void addTo(Channel newChannel) {
         channel = newChannel;
-        frames = RespCodec.codec(channel.pipeline(), MAX_REPLY_ELEMENTS, this);
+        frames = RespCodec.addHandlers(channel.pipeline(), MAX_REPLY_ELEMENTS, this);
         channel.pipeline().addLast(this);
     }
 
@@ -228,7 +228,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        boolean partialMessage = frames.pendingBytes != 0;
+        boolean partialMessage = frames.pendingBytes() != 0;
         if (partialMessage && stream == null && attempt == null) {
             close(CloseReason.UNASKED);
         } else if (replied) {
@@ -245,13 +245,13 @@
     private void awaitRestOfReply() {
         Attempt awaitedAttempt = attempt;
         StreamedResponse awaitedStream = stream;
-        long bytesBefore = frames.pendingBytes;
+        long bytesBefore = frames.pendingBytes();
         loop.schedule(PARTIAL_REPLY_TIMEOUT_MS, () -> {
             boolean ended = attempt != awaitedAttempt || stream != awaitedStream;
             if (ended || (awaitedAttempt == null && awaitedStream == null)) {
                 return;
             }
-            if (frames.pendingBytes != bytesBefore) {
+            if (frames.pendingBytes() != bytesBefore) {
                 awaitRestOfReply();
             } else {
                 failUnreadable();
@@ -333,7 +333,7 @@
             value.onSourceFailed();
         }
         if (sent != null) {
-            if (sent.isWritten() && frames.pendingBytes == 0) {
+            if (sent.isWritten() && frames.pendingBytes() == 0) {
                 usage.recordReset();
             }
             pool.end(sent, EndpointReply.of(sent.isWritten() ? CallOutcome.RESET : CallOutcome.NO_CONNECTION));
--- a/src/test/java/quotagateway/client/ClientConnectionTest.java
+++ b/src/test/java/quotagateway/client/ClientConnectionTest.java
@@ -11,7 +11,7 @@
 import quotagateway.resp.RespCodec;
 
 class ClientConnectionTest {
-    private static final int LARGE = RespCodec.VALUE + 1000;
+    private static final int LARGE = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1000;
     private static final String LARGE_REQUEST =
             "*5\r\n$9\r\nCALL.POST\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n$" + LARGE + "\r\n";
     private static final int LINGER_MS = 200;
@@ -94,7 +94,7 @@
     @Test
     void commandWithLargeBodyIsTakenOnceEnoughIsBuffered() {
         channel.receive(LARGE_REQUEST);
-        channel.receive("x".repeat(RespCodec.VALUE - 1));
+        channel.receive("x".repeat(RespCodec.MAX_BUFFERED_VALUE_BYTES - 1));
         assertEquals(0, clients.requests.size());
         channel.receive("x");
         assertEquals(1, clients.requests.size());
@@ -106,10 +106,10 @@
     void largeBodyOfAnAnsweredRequestIsDroppedAndTheNextCommandTaken() {
         clients.problem = "d is out of range";
         channel.receive(LARGE_REQUEST);
-        channel.receive("x".repeat(RespCodec.VALUE));
+        channel.receive("x".repeat(RespCodec.MAX_BUFFERED_VALUE_BYTES));
         assertEquals("-ERR d is out of range\r\n", channel.sent());
         clients.problem = null;
-        channel.receive("x".repeat(LARGE - RespCodec.VALUE) + "\r\n" + ClientSide.REQUEST);
+        channel.receive("x".repeat(LARGE - RespCodec.MAX_BUFFERED_VALUE_BYTES) + "\r\n" + ClientSide.REQUEST);
         assertEquals(1, clients.requests.size());
         assertNull(clients.requests.get(0).body);
     }
--- a/src/test/java/quotagateway/upstream/EndpointConnectionTest.java
+++ b/src/test/java/quotagateway/upstream/EndpointConnectionTest.java
@@ -16,7 +16,7 @@
 class EndpointConnectionTest {
     private static final String OK = "*3\r\n$1\r\nv\r\n$-1\r\n$9\r\nutil=0.25\r\n";
     private static final double PARTIAL_REPLY_TIMEOUT_MS = 250;
-    private static final int LARGE = RespCodec.VALUE + 1;
+    private static final int LARGE = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1;
 
     private final EndpointSide endpoints = new EndpointSide(3);
     private final EndpointSide.Peer peer = endpoints.connected("s", 1);
