--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -1,6 +1,7 @@
 package quotagateway.policy.health;
 
-import java.util.IdentityHashMap;
+import java.util.HashMap;
+import java.util.Map;
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.statistics.DecayingValue;
 
@@ -12,12 +13,12 @@
     /** Half is forgotten in this time; slower than slowness, as a failed try costs a whole attempt. */
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
-    /** By identity: the settings have one object for each class, whose hash would cost more than the look-up. */
-    private final IdentityHashMap<RequestClass, DecayingValue> failureShares = new IdentityHashMap<>(1);
+    /** By the name of the class. */
+    private final Map<String, DecayingValue> failureShares = new HashMap<>();
 
     /** The part of this class's attempts that fail, from 0 to 1. */
     public double failureShare(RequestClass requestClass, double now) {
-        DecayingValue share = failureShares.get(requestClass);
+        DecayingValue share = failureShares.get(requestClass.name());
         return share == null ? 0 : share.valueAt(now);
     }
 
@@ -31,10 +32,10 @@
 
     /** The newest sample counts as much as all before it: one failure is reason enough to try elsewhere. */
     private void record(RequestClass requestClass, double failed, double now) {
-        DecayingValue share = failureShares.get(requestClass);
+        DecayingValue share = failureShares.get(requestClass.name());
         if (share == null) {
             share = new DecayingValue(0, FAILURE_HALF_LIFE_MS, now);
-            failureShares.put(requestClass, share);
+            failureShares.put(requestClass.name(), share);
         }
         share.set((share.valueAt(now) + failed) / 2, now);
     }
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
@@ -18,7 +18,7 @@
     private final CustomerCounter counter;
     private final GrantEstimator grants;
     /** For each slot the epoch of the count that it was taken from, and has to be returned to. */
-    private final ArrayDeque<Long> slotEpochs = new ArrayDeque<>(1); // empty on most plans
+    private final ArrayDeque<Long> slotEpochs = new ArrayDeque<>(1);
 
     private long triedEpoch;
 
@@ -39,7 +39,7 @@
     boolean allowsAnother() {
         int limit = holder.plan().concurrencyLimit();
         int open = demand.attemptsInFlight();
-        if (limit <= 0 || open < slotEpochs.size()) {
+        if (open < slotEpochs.size()) {
             return true;
         }
         if (holder.local() || !counter.mayCall()) {
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -26,7 +26,9 @@
     private final StoreEstimate estimate;
     private final QuotaLease lease;
     private final GrantEstimator grants;
+    /** Null on plans that do not bound them. */
     private final ConcurrencyQuota openRequests;
+
     private final HardLimit hardLimit;
     private final DemandEstimator usualDemand = new DemandEstimator();
 
@@ -50,7 +52,8 @@
         estimate = new StoreEstimate(holder, share, now);
         grants = new GrantEstimator(plan, context.limiter(), context.usualGrant());
         lease = new QuotaLease(holder, context, demand, counter, balance, estimate, share, grants);
-        openRequests = new ConcurrencyQuota(holder, context, demand, counter, grants);
+        openRequests =
+                plan.concurrencyLimit() > 0 ? new ConcurrencyQuota(holder, context, demand, counter, grants) : null;
         hardLimit = HardLimit.of(holder, now);
     }
 
@@ -70,7 +73,8 @@
                 return false;
             }
         }
-        return hardLimit.allows(request.units(), context.now()) && openRequests.allowsAnother();
+        return hardLimit.allows(request.units(), context.now())
+                && (openRequests == null || openRequests.allowsAnother());
     }
 
     /** Claims what all waiting requests lack, unless the last reading leaves nothing in time. */
@@ -134,7 +138,9 @@
 
     /** Returns slots of open requests that no request holds or waits for. */
     public void returnUnusedSlots() {
-        openRequests.returnUnusedSlots();
+        if (openRequests != null) {
+            openRequests.returnUnusedSlots();
+        }
     }
 
     /** Collects leased units that have fallen due and, where the counter is not asked, the share of the rate. */
@@ -200,7 +206,7 @@
         return demand.isEmpty()
                 && demand.attemptsInFlight() == 0
                 && !counter.isExchangeOpen()
-                && openRequests.holdsNoSlot()
+                && (openRequests == null || openRequests.holdsNoSlot())
                 && usualDemand.isIdle();
     }
 }
--- a/src/main/java/quotagateway/policy/statistics/DecayingValue.java
+++ b/src/main/java/quotagateway/policy/statistics/DecayingValue.java
@@ -20,6 +20,9 @@
 
     /** The value as it has decayed by now. */
     public double valueAt(double now) {
+        if (value == restingValue) {
+            return value; // most are at rest, and the power below costs more than all else in the choice of an endpoint
+        }
         return restingValue + (value - restingValue) * Math.pow(0.5, (now - updatedAt) / halfLifeMs);
     }
 
--- a/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
+++ b/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
@@ -28,7 +28,7 @@
     private static final int CHANGES = 2000;
 
     private final PriorityQueue<Double> timers = new PriorityQueue<>();
-    private final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
+    private final PriorityQueue<double[]> ends = new PriorityQueue<>((one, other) -> Double.compare(one[0], other[0]));
     private final Random random = new Random(1);
     private double now = 1000;
     private long sent;
@@ -67,12 +67,12 @@
     }
 
     private void run(int listed) {
-        PolicyHarness b = new PolicyHarness();
-        b.nodes = NODES;
-        b.me = 17;
-        b.counter = false;
+        PolicyHarness harness = new PolicyHarness();
+        harness.gatewayCount = NODES;
+        harness.gatewayIndex = 17;
+        harness.sharedCounter = false;
         double before = memory();
-        module = new Policy(b.settings(), 1, now, this);
+        module = new Policy(harness.settings(), 1, now, this);
         for (int part = 0; part < listed; part += 1000) {
             List<EndpointDescriptor> list = new ArrayList<>();
             for (int i = part; i < Math.min(listed, part + 1000); i++) {
--- a/src/test/java/quotagateway/policy/PolicyHarness.java
+++ b/src/test/java/quotagateway/policy/PolicyHarness.java
@@ -24,19 +24,19 @@
 final class PolicyHarness implements PolicyActions {
     final List<String> log = new ArrayList<>();
     final List<double[]> timers = new ArrayList<>();
-    final List<long[]> calls = new ArrayList<>();
-    final List<Double> totals = new ArrayList<>();
+    final List<long[]> counterCalls = new ArrayList<>();
+    final List<Double> counterTotals = new ArrayList<>();
     /** The servers that the module uses at present. */
-    final Set<String> kept = new TreeSet<>();
+    final Set<String> retained = new TreeSet<>();
 
-    Map<Long, Double> sums = new HashMap<>();
-    int me;
+    Map<Long, Double> counter = new HashMap<>();
+    int gatewayIndex;
     long seed = 7;
-    int nodes = 2;
+    int gatewayCount = 2;
     private double otherUnits;
     private double othersAt;
     double now;
-    Policy module;
+    Policy policy;
     List<RequestClass> classes = List.of(
             new RequestClass("read", Idempotency.IDEMPOTENT, RetryScope.CELL, 600, 2000, 1, 0, 0, false),
             new RequestClass("all", Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL, 600, 2000, 1, 0, 400, false),
@@ -48,88 +48,88 @@
             new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
             new QuotaPlan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
             new QuotaPlan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
-    boolean copies = true;
-    boolean counter = true;
-    boolean settled;
-    boolean ask;
-    int mostUnits = 1;
+    boolean hedging = true;
+    boolean sharedCounter = true;
+    boolean reportsActualUnits;
+    boolean mustSubscribe;
+    int maxUnits = 1;
 
     /** Without a counter: the even part is there at once, so that a test of servers need not mind quotas. */
-    static PolicyHarness plain() {
-        PolicyHarness b = new PolicyHarness();
-        b.counter = false;
-        return b;
+    static PolicyHarness withoutCounter() {
+        PolicyHarness gateway = new PolicyHarness();
+        gateway.sharedCounter = false;
+        return gateway;
     }
 
     PolicyHarness start() {
-        module = new Policy(settings(), seed, now, this);
+        policy = new Policy(settings(), seed, now, this);
         return this;
     }
 
     PolicySettings settings() {
         return new PolicySettings(
-                me,
-                nodes,
+                gatewayIndex,
+                gatewayCount,
                 "a",
                 2,
-                ask,
-                settled,
-                mostUnits,
+                mustSubscribe,
+                reportsActualUnits,
+                maxUnits,
                 List.of(),
                 classes,
                 plans,
-                new Capabilities(true, true, copies, true, false, counter, 5, 2000, 50),
+                new Capabilities(true, true, hedging, true, false, sharedCounter, 5, 2000, 50),
                 new ServiceRules(16, 250, 0.2, 15000, 2, 2000),
                 new CostWeights(0.05, 0.01, 0.02, 0, 0.03));
     }
 
     /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
-    PolicyHarness servers(int n) {
+    PolicyHarness listEndpoints(int n) {
         List<EndpointDescriptor> list = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            list.add(server(i, EndpointState.UP, 0));
+            list.add(endpoint(i, EndpointState.UP, 0));
         }
-        module.onEndpoints(now, list, true);
+        policy.onEndpoints(now, list, true);
         return this;
     }
 
-    static EndpointDescriptor server(int i, EndpointState state, double startedAt) {
+    static EndpointDescriptor endpoint(int i, EndpointState state, double startedAt) {
         return new EndpointDescriptor("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1, 0);
     }
 
     /** Other gateways add to every name, at this rate since the last time. */
-    void others(double perSecond) {
+    void othersTakePerSecond(double perSecond) {
         otherUnits = (now - othersAt) / 1000 * perSecond;
         othersAt = now;
-        sums.replaceAll((name, sum) -> sum + otherUnits);
+        counter.replaceAll((name, sum) -> sum + otherUnits);
     }
 
     /** Other gateways have taken so much of every name. */
-    void othersTook(double units) {
-        sums.replaceAll((name, sum) -> sum + units);
+    void othersTake(double units) {
+        counter.replaceAll((name, sum) -> sum + units);
     }
 
     /** Answers the calls made so far, with the totals that stood when they were made. */
-    void answerCounter(CallOutcome outcome) {
-        for (int n = calls.size(); n > 0; n--) {
-            module.onCounterReply(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
+    void replyToCounterCalls(CallOutcome outcome) {
+        for (int n = counterCalls.size(); n > 0; n--) {
+            policy.onCounterReply(now, counterCalls.remove(0)[0], outcome, 2, counterTotals.remove(0));
         }
     }
 
-    void arrive(long id, String type, String plan, String customer) {
-        arrive(id, type, plan, customer, 1, 2);
+    void request(long id, String type, String plan, String customer) {
+        request(id, type, plan, customer, 1, 2);
     }
 
-    void arrive(long id, String type, String plan, String customer, int units, int spread) {
-        module.onRequest(now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
+    void request(long id, String type, String plan, String customer, int units, int spread) {
+        policy.onRequest(now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
     }
 
-    void end(long id, int attempt, CallOutcome outcome) {
-        module.onAttemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
+    void endAttempt(long id, int attempt, CallOutcome outcome) {
+        policy.onAttemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
     }
 
     /** Advances the clock, firing the timers that fall due. */
-    void to(double time) {
+    void advanceTo(double time) {
         while (true) {
             double[] next = null;
             for (double[] t : timers) {
@@ -142,17 +142,17 @@
             }
             timers.remove(next);
             now = Math.max(now, next[0]);
-            module.onTimer(now, (long) next[1]);
+            policy.onTimer(now, (long) next[1]);
         }
         now = time;
     }
 
-    long count(String prefix) {
+    long countActions(String prefix) {
         return log.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
     /** The server of the last send of a request. */
-    String sentTo(long id) {
+    String lastEndpointOf(long id) {
         String found = null;
         for (String line : log) {
             if (line.startsWith("send " + id + " ")) {
@@ -195,8 +195,8 @@
     @Override
     public void addToCounter(long name, double amount, double keepFor) {
         log.add("count " + amount);
-        calls.add(new long[] {name});
-        totals.add(sums.merge(name, amount, Double::sum));
+        counterCalls.add(new long[] {name});
+        counterTotals.add(counter.merge(name, amount, Double::sum));
     }
 
     @Override
@@ -212,12 +212,12 @@
     @Override
     public void retainEndpoint(EndpointDescriptor server) {
         log.add("keep " + server.id());
-        kept.add(server.id());
+        retained.add(server.id());
     }
 
     @Override
     public void releaseEndpoint(String server) {
         log.add("release " + server);
-        kept.remove(server);
+        retained.remove(server);
     }
 }
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -46,9 +46,9 @@
         final Random random;
         final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
-        final Edge[] edges;
+        final SimulatedGateway[] gateways;
         final double[] weight;
-        final Map<String, Place> places = new HashMap<>();
+        final Map<String, SimulatedEndpoint> endpoints = new HashMap<>();
         final List<EndpointDescriptor> list = new ArrayList<>();
         final double capacity;
         double now;
@@ -65,11 +65,11 @@
             this.capacity = capacity;
             random = new Random(size + servers);
             perSecond = use * capacity * servers;
-            edges = new Edge[size];
+            gateways = new SimulatedGateway[size];
             weight = new double[size];
             for (int i = 0; i < servers; i++) {
                 list.add(server(i, EndpointState.UP, 0));
-                places.put("s" + i, new Place());
+                endpoints.put("s" + i, new SimulatedEndpoint());
             }
             for (int i = 0; i < size; i++) {
                 restart(i);
@@ -111,7 +111,7 @@
                     i++;
                 }
                 asked++;
-                edges[i].module.onRequest(
+                gateways[i].policy.onRequest(
                         now,
                         new IncomingRequest(
                                 serial++, "read", "any", "c" + serial % 50, 90_000 / capacity, 1, 1, i, false));
@@ -121,22 +121,22 @@
 
         /** A new process, which knows the list alone. */
         void restart(int i) {
-            edges[i] = new Edge(this, i);
-            edges[i].module.onEndpoints(now, list, true);
+            gateways[i] = new SimulatedGateway(this, i);
+            gateways[i].policy.onEndpoints(now, list, true);
         }
 
         void tell(EndpointDescriptor s) {
             int i = Integer.parseInt(s.id().substring(1));
             list.set(i, s);
-            for (Edge e : edges) {
-                e.module.onEndpoints(now, List.of(s), false);
+            for (SimulatedGateway e : gateways) {
+                e.policy.onEndpoints(now, List.of(s), false);
             }
         }
 
         /** Ends, and is back at once, cold. */
         void cold(int from, int to) {
             for (int i = from; i < to; i++) {
-                places.get("s" + i).started = now;
+                endpoints.get("s" + i).started = now;
                 tell(server(i, EndpointState.UP, now));
             }
         }
@@ -147,8 +147,8 @@
             }
         }
 
-        void sent(Edge edge, long id, String server) {
-            Place p = places.get(server);
+        void sent(SimulatedGateway gateway, long id, String server) {
+            SimulatedEndpoint p = endpoints.get(server);
             p.sends.add(now);
             while (p.sends.peek() <= now - rules.overloadWindow()) {
                 p.sends.poll();
@@ -168,10 +168,10 @@
             double sentAt = now;
             at(full ? now + 1 : p.free + 3000 / capacity, () -> {
                 served += full ? 0 : 1;
-                edge.module.onAttemptEnded(
+                gateway.policy.onAttemptEnded(
                         now,
                         id,
-                        edge.tries.merge(id, 1, Integer::sum) - 1,
+                        gateway.tries.merge(id, 1, Integer::sum) - 1,
                         full ? CallOutcome.FULL : CallOutcome.OK,
                         now - sentAt,
                         !full,
@@ -181,19 +181,19 @@
         }
     }
 
-    private static final class Place {
+    private static final class SimulatedEndpoint {
         final ArrayDeque<Double> sends = new ArrayDeque<>();
         double started = Double.NEGATIVE_INFINITY;
         double free;
     }
 
     /** A node; a process that has gone still gets its answers, and they count for nothing. */
-    private static final class Edge implements PolicyActions {
+    private static final class SimulatedGateway implements PolicyActions {
         final Fleet fleet;
-        final Policy module;
+        final Policy policy;
         final Map<Long, Integer> tries = new HashMap<>();
 
-        Edge(Fleet fleet, int me) {
+        SimulatedGateway(Fleet fleet, int me) {
             this.fleet = fleet;
             RequestClass read = new RequestClass(
                     "read",
@@ -205,7 +205,7 @@
                     0,
                     0,
                     false);
-            module = new Policy(
+            policy = new Policy(
                     new PolicySettings(
                             me,
                             fleet.size,
@@ -226,7 +226,7 @@
         }
 
         private boolean runs() {
-            return module != null && Arrays.asList(fleet.edges).contains(this);
+            return policy != null && Arrays.asList(fleet.gateways).contains(this);
         }
 
         @Override
@@ -238,7 +238,7 @@
         public void scheduleTimer(double delay, long token) {
             fleet.at(fleet.now + delay + 0.001, () -> {
                 if (runs()) {
-                    module.onTimer(fleet.now, token);
+                    policy.onTimer(fleet.now, token);
                 }
             });
         }
@@ -273,54 +273,54 @@
 
     /** The trouble comes at 20 s, a burst of half as much again 2 s later. */
     private static Fleet play(Trouble trouble, int nodes, int servers, double capacity, boolean restarts) {
-        Fleet f = new Fleet(rules(13_000), nodes, servers, capacity, 0.5);
-        f.to(20_000);
+        Fleet fleet = new Fleet(rules(13_000), nodes, servers, capacity, 0.5);
+        fleet.to(20_000);
         int third = servers / 3;
         switch (trouble) {
-            case A_THIRD_COLD -> f.cold(0, third);
-            case ALL_COLD -> f.cold(0, servers);
-            case ALL_BUT_ONE_COLD -> f.cold(1, servers);
+            case A_THIRD_COLD -> fleet.cold(0, third);
+            case ALL_COLD -> fleet.cold(0, servers);
+            case ALL_BUT_ONE_COLD -> fleet.cold(1, servers);
             case BACK_ONE_BY_ONE -> {
-                f.gone(1, servers);
+                fleet.gone(1, servers);
                 for (int i = 1; i < servers; i++) {
                     int server = i;
-                    f.at(f.now + 3000 + 400 * i, () -> f.cold(server, server + 1));
+                    fleet.at(fleet.now + 3000 + 400 * i, () -> fleet.cold(server, server + 1));
                 }
             }
             case REST_LOST -> {
-                f.cold(0, third);
-                f.at(f.now + 3000, () -> f.gone(third, servers));
+                fleet.cold(0, third);
+                fleet.at(fleet.now + 3000, () -> fleet.gone(third, servers));
             }
             default -> {
-                f.cold(0, third);
+                fleet.cold(0, third);
                 for (int i = 0; i < third * nodes; i++) {
-                    f.edges[i / third].module.setCordoned(f.now, "s" + i % third, true);
-                    f.edges[i / third].module.setCordoned(f.now, "s" + i % third, false);
+                    fleet.gateways[i / third].policy.setCordoned(fleet.now, "s" + i % third, true);
+                    fleet.gateways[i / third].policy.setCordoned(fleet.now, "s" + i % third, false);
                 }
             }
         }
-        f.at(f.now + 2000, () -> f.perSecond *= 1.5);
+        fleet.at(fleet.now + 2000, () -> fleet.perSecond *= 1.5);
         for (int i = 0; restarts && i < nodes; i++) { // half of them together, the others in turn; all twice
             int node = i;
-            f.at(f.now + (i % 2 == 0 ? 600 : 600 + 100 * i), () -> f.restart(node));
-            f.at(f.now + (i % 2 == 0 ? 4200 : 4200 + 120 * i), () -> f.restart(node));
+            fleet.at(fleet.now + (i % 2 == 0 ? 600 : 600 + 100 * i), () -> fleet.restart(node));
+            fleet.at(fleet.now + (i % 2 == 0 ? 4200 : 4200 + 120 * i), () -> fleet.restart(node));
         }
-        return f;
+        return fleet;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 5, 20, 30})
-    void allNodesTogetherKeepToWhatAColdServerBears(int nodes) {
+    void allGatewaysTogetherKeepToWhatAnEndpointInSlowStartBears(int nodes) {
         for (Trouble trouble : Trouble.values()) {
             for (int servers : new int[] {12, 36}) {
                 for (double capacity : new double[] {4, 20}) {
                     for (boolean restarts : new boolean[] {false, true}) {
-                        Fleet f = play(trouble, nodes, servers, capacity, restarts);
-                        f.to(36_000);
+                        Fleet fleet = play(trouble, nodes, servers, capacity, restarts);
+                        fleet.to(36_000);
                         String what = String.format(
                                 "%s, %d servers of %.0f a second, %b: %.2f of it",
-                                trouble, servers, capacity, restarts, f.worst);
-                        assertTrue(f.worst > 0 && f.worst <= 1, what);
+                                trouble, servers, capacity, restarts, fleet.worst);
+                        assertTrue(fleet.worst > 0 && fleet.worst <= 1, what);
                     }
                 }
             }
@@ -330,35 +330,37 @@
     /** While others are quicker each node saves a send to each cold server: not to spend them all at once. */
     @ParameterizedTest
     @ValueSource(doubles = {1, 12})
-    void whatAllNodesHaveSavedIsNotSpentTogether(double capacity) {
-        Fleet f = new Fleet(rules(60_000), 30, 24, capacity, 0.7);
-        f.to(20_000);
-        f.cold(0, 6);
-        f.to(45_000);
-        f.perSecond *= 1.5;
-        f.gone(6, 24);
-        f.to(50_000);
-        assertTrue(f.worst > 0 && f.worst <= 1, "of it: " + f.worst);
+    void unusedBudgetsOfAllGatewaysAreNotSpentTogether(double capacity) {
+        Fleet fleet = new Fleet(rules(60_000), 30, 24, capacity, 0.7);
+        fleet.to(20_000);
+        fleet.cold(0, 6);
+        fleet.to(45_000);
+        fleet.perSecond *= 1.5;
+        fleet.gone(6, 24);
+        fleet.to(50_000);
+        assertTrue(fleet.worst > 0 && fleet.worst <= 1, "of it: " + fleet.worst);
     }
 
     @Test
-    void itHoldsBeforeManyServersToo() {
+    void budgetHoldsWithManyEndpointsToo() {
         for (Trouble trouble : List.of(Trouble.A_THIRD_COLD, Trouble.REST_LOST)) {
-            Fleet f = play(trouble, 30, 300, 4, true);
-            f.to(28_000);
-            assertTrue(f.worst > 0 && f.worst <= 1, trouble + ": " + f.worst);
+            Fleet fleet = play(trouble, 30, 300, 4, true);
+            fleet.to(28_000);
+            assertTrue(fleet.worst > 0 && fleet.worst <= 1, trouble + ": " + fleet.worst);
         }
     }
 
     /** Asked for three quarters of what they do warm; by the settings half after 4 s, all after 13. */
     @ParameterizedTest
     @ValueSource(ints = {2, 5, 20, 30})
-    void aFleetThatIsBackColdIsUsed(int nodes) {
-        Fleet f = play(Trouble.ALL_COLD, nodes, 12, 12, false);
-        f.to(24_000);
-        long asked = f.asked;
-        long served = f.served;
-        f.to(36_000);
-        assertTrue(f.served - served > 0.6 * (f.asked - asked), f.served - served + " of " + (f.asked - asked));
+    void fleetThatIsBackInSlowStartIsUsed(int nodes) {
+        Fleet fleet = play(Trouble.ALL_COLD, nodes, 12, 12, false);
+        fleet.to(24_000);
+        long asked = fleet.asked;
+        long served = fleet.served;
+        fleet.to(36_000);
+        assertTrue(
+                fleet.served - served > 0.6 * (fleet.asked - asked),
+                fleet.served - served + " of " + (fleet.asked - asked));
     }
 }
--- a/src/test/java/quotagateway/simulator/SimulatorHostTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorHostTest.java
@@ -30,12 +30,12 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws Exception {
+    void emptyBatchGetsAnEmptyReply() throws Exception {
         assertEquals("END\n", run("TURN\t8412.25\nGO\n"));
     }
 
     @Test
-    void aRequestIsSentAndTheSameInputGivesTheSameOutput() throws Exception {
+    void requestIsSentAndTheSameInputGivesTheSameOutput() throws Exception {
         String input = "TURN\t10\n" + UP + ARRIVAL + "GO\nTURN\t30\nINSTANCE\t3\n"
                 + "ENDED\t7\t0\t1\t0\tS\t18.5\t10.0.0.1:80\t0\t-\nGO\n";
         String output = run(input);
@@ -44,14 +44,14 @@
     }
 
     @Test
-    void killAndStartInOneBatch() throws Exception {
+    void instanceIsStoppedAndStartedInOneBatch() throws Exception {
         String output = run("TURN\t10\n" + UP + ARRIVAL + "GO\nTURN\t20\nINSTANCE\t3\nDESTROY\n" + UP
                 + ARRIVAL.replace("\t7\t", "\t8\t") + "GO\n");
         assertTrue(output.contains("PLACE\t8\t"), output);
     }
 
     @Test
-    void malformedLinesAreToldWithLineAndField() {
+    void malformedLinesAreReportedWithLineAndField() {
         assertEquals("line 1, field message: TURN expected, found 'HELLO'", error("HELLO\n"));
         assertEquals("line 1, field clock: number expected, found 'x'", error("TURN\tx\nGO\n"));
         assertTrue(error("TURN\t1\nINSTANCE\t3\nARRIVAL\t1\nGO\n").startsWith("line 3, field instance"));
