--- /dev/null
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointTest.java
@@ -0,0 +1,77 @@
+package quotagateway.policy.endpoint;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import quotagateway.policy.api.CallOutcome;
+import quotagateway.policy.api.EndpointState;
+import quotagateway.policy.health.ClassLatency;
+import quotagateway.policy.testing.PolicyValues;
+
+class EndpointTest {
+    private final Endpoint endpoint = new Endpoint("s0", PolicyValues.RULES, 800);
+    private final ClassLatency read = new ClassLatency(PolicyValues.READ); // 100 ms in the mean
+
+    @Test
+    void laterStartInTheListMeansARestart() {
+        assertFalse(endpoint.describe(PolicyValues.endpoint(0, EndpointState.UP, 100)), "the first one known");
+        assertFalse(endpoint.describe(PolicyValues.endpoint(0, EndpointState.DRAINING, 100)));
+        assertTrue(endpoint.describe(PolicyValues.endpoint(0, EndpointState.UP, 200)));
+    }
+
+    @Test
+    void attemptIsInFlightUntilItEnds() {
+        Attempt attempt = endpoint.startAttempt(read, 0);
+        assertEquals(1, endpoint.inFlight());
+        assertTrue(attempt.isInFlight());
+        assertTrue(attempt.mayHaveRun());
+        attempt.end(CallOutcome.FULL);
+        assertEquals(0, endpoint.inFlight());
+        assertFalse(attempt.isInFlight());
+        assertFalse(attempt.mayHaveRun());
+    }
+
+    @Test
+    void oldestAttemptInFlightShowsSlownessBeforeItEnds() {
+        Attempt oldest = endpoint.startAttempt(read, 0);
+        endpoint.startAttempt(read, 900);
+        assertEquals(1, endpoint.slowness(100));
+        assertEquals(5, endpoint.slowness(1000));
+        oldest.end(CallOutcome.OK);
+        assertEquals(1, endpoint.slowness(1000));
+    }
+
+    @Test
+    void endpointOnTrialHasCapacityForOneAttempt() {
+        endpoint.outlierDetector().eject(0);
+        assertTrue(endpoint.hasCapacity(1000));
+        endpoint.startAttempt(read, 1000);
+        assertFalse(endpoint.hasCapacity(1000));
+        endpoint.outlierDetector().recordSuccess();
+        assertTrue(endpoint.hasCapacity(1000));
+    }
+
+    @Test
+    void newProcessIsJudgedAnew() {
+        endpoint.latency().record(10, 0);
+        endpoint.failures().recordFailure(PolicyValues.READ, 0);
+        endpoint.outlierDetector().eject(0);
+        endpoint.forgetFormerProcess();
+        assertEquals(1, endpoint.slowness(0));
+        assertEquals(0, endpoint.failures().failureShare(PolicyValues.READ, 0));
+        assertFalse(endpoint.isEjected(0));
+    }
+
+    @Test
+    void slowStartGivesARandomPartOfTheFirstSendOnce() {
+        endpoint.startSlowStart(0, 0, new Random(1));
+        assertFalse(endpoint.ramp().isWarm(0));
+        assertFalse(endpoint.slowStartBudget().allowsSend(0, 0), "less than one");
+        Random untouched = new Random(2);
+        endpoint.startSlowStart(10, 10, untouched);
+        assertEquals(new Random(2).nextDouble(), untouched.nextDouble(), "it is in slow start already");
+    }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/policy/quota/QuotaFixture.java
@@ -0,0 +1,83 @@
+package quotagateway.policy.quota;
+
+import java.util.Random;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.QuotaPlan;
+import quotagateway.policy.statistics.LatencyObjectives;
+import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.RecordingActions;
+import quotagateway.policy.timer.EventClock;
+import quotagateway.policy.timer.ResplitSchedule;
+import quotagateway.policy.timer.TimerQueue;
+import quotagateway.policy.traffic.SendRateLimiter;
+import quotagateway.policy.traffic.TrafficMeter;
+
+/** What a quota needs around it, with requests as plain numbers. */
+final class QuotaFixture {
+    /** Requests that wait, all of one latest start. */
+    static final class Demand implements QuotaDemand {
+        int requests;
+        int units = 1;
+        double latestStart = 400;
+        int inFlight;
+
+        @Override
+        public boolean isEmpty() {
+            return requests == 0;
+        }
+
+        @Override
+        public double queuedUnits() {
+            return requests * units;
+        }
+
+        @Override
+        public int firstUnits() {
+            return units;
+        }
+
+        @Override
+        public double lastLatestStart() {
+            return latestStart;
+        }
+
+        @Override
+        public int attemptsInFlight() {
+            return inFlight;
+        }
+    }
+
+    record Request(int units, double arrivedAt, double latestStart, boolean isClientRetry) implements QuotaRequest {}
+
+    final EventClock clock = new EventClock(0);
+    final RecordingActions host = new RecordingActions();
+    final Demand demand = new Demand();
+    final CounterCalls calls;
+    final QuotaContext context;
+
+    QuotaFixture(int gateways) {
+        PolicySettings settings = PolicyValues.settings(gateways);
+        TimerQueue timers = new TimerQueue(clock, host);
+        LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
+        SendRateLimiter limiter = new SendRateLimiter(settings, objectives, clock, timers, new TrafficMeter());
+        calls = new CounterCalls(host, clock, new CounterCallWindow(settings, clock, timers, new Random(1)));
+        context = new QuotaContext(
+                settings,
+                objectives,
+                clock,
+                timers,
+                new ResplitSchedule(settings),
+                limiter,
+                calls,
+                QuotaContext.newUsualGrant());
+    }
+
+    CustomerQuota quota(QuotaPlan plan, int gateways) {
+        return new CustomerQuota("c " + plan.name(), plan, gateways, 0, context, demand);
+    }
+
+    /** A request of one unit that came now. */
+    Request request() {
+        return new Request(1, clock.now(), clock.now() + 400, false);
+    }
+}
