--- /dev/null
+++ b/src/main/java/quotagateway/policy/api/package-info.java
@@ -0,0 +1,2 @@
+/** The ports of the decision module and the values that pass through them. */
+package quotagateway.policy.api;
--- a/src/main/java/quotagateway/policy/endpoint/DiscoverySubscription.java
+++ b/src/main/java/quotagateway/policy/endpoint/DiscoverySubscription.java
@@ -7,8 +7,9 @@
 
 /** Subscribes to endpoint lists where that is asked for, and again after failures, with exponential backoff. */
 public final class DiscoverySubscription {
+    /** Mean time to the second subscription after a first failure. */
     private static final double INITIAL_BACKOFF_MS = 1000;
-    /** A discovery service that is back is to be heard within some 10 s. */
+    /** With its spread it is 12 s at the most. */
     private static final double MAX_BACKOFF_MS = 8000;
 
     private final boolean required;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/hash/package-info.java
@@ -0,0 +1,2 @@
+/** Hashes that all gateways compute alike. */
+package quotagateway.policy.hash;
--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -10,7 +10,7 @@
  * and serve the others.
  */
 public final class FailureEstimator {
-    /** Half is forgotten in this time; slower than slowness, as a failed try costs a whole attempt. */
+    /** Half is forgotten in this time, in which slowness is nearly gone. */
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
     /** By the name of the class. */
--- a/src/main/java/quotagateway/policy/health/LatencyEstimator.java
+++ b/src/main/java/quotagateway/policy/health/LatencyEstimator.java
@@ -11,7 +11,7 @@
 public final class LatencyEstimator {
     /** Without new samples half of the distance from 1 is forgotten in this time. */
     public static final double SLOWNESS_HALF_LIFE_MS = 4000;
-    /** One sample counts as so many times the usual at the most, or it would stand out for many more. */
+    /** One sample counts as so many times the usual at the most, so that a single one is soon outweighed. */
     private static final double MAX_SAMPLE = 30;
     /** An endpoint that rejects as it is full counts as so many times slower than it was. */
     private static final double FULL_FACTOR = 2;
--- a/src/main/java/quotagateway/policy/health/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/health/OutlierDetector.java
@@ -8,7 +8,7 @@
 public final class OutlierDetector {
     /** Length of the first ejection: longer than a blip, short against the time that a client waits. */
     private static final double FIRST_EJECTION_MS = 500;
-    /** It is doubled so many times at the most: 8 s, as a restart takes seconds. */
+    /** It is doubled so many times at the most, to 8 s. */
     private static final int MAX_DOUBLINGS = 4;
     /** Failures without a success between that eject an endpoint, weighed by what they prove. */
     private static final double EJECTING_FAILURES = 3;
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
@@ -9,7 +9,7 @@
  * request, and returned when none waits.
  */
 final class ConcurrencyQuota {
-    /** A try that found all slots taken is repeated after this: requests take about so long at the least. */
+    /** A try that found all slots taken is repeated after this: a few of the shortest ticks. */
     private static final double RETRY_DELAY_MS = 25;
 
     private final QuotaHolder holder;
--- a/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
@@ -90,7 +90,7 @@
         window = Math.max(smallestWindow(), Math.min(MAX_WINDOW, window));
     }
 
-    /** Whether the window was full, or nearly, when the call that has just ended was in flight. */
+    /** Whether the window had no room for one more call when the one that has just ended was in flight. */
     private boolean wasUsedUp() {
         return inFlight + 2 > window;
     }
--- a/src/main/java/quotagateway/policy/quota/GrantEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/GrantEstimator.java
@@ -8,7 +8,7 @@
 final class GrantEstimator {
     /** There are few replies, and the last one says most. */
     private static final double WEIGHT = 1.0 / 2;
-    /** Worth that is lost by a request beyond the quota at the least, or nothing would ever be held back. */
+    /** Keeps the break-even defined on a plan where a request beyond the quota costs nothing and earns all. */
     private static final double MAX_EXCESS_WEIGHT = 0.99;
 
     private final QuotaPlan plan;
--- a/src/main/java/quotagateway/policy/routing/EndpointPicker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointPicker.java
@@ -51,13 +51,15 @@
         double bestScore = 0;
         for (Endpoint candidate : endpoints.members()) {
             boolean firstRequestDue = candidate.ramp().isFirstRequestDue(now);
-            if (!mayReceive(attempts, candidate, now) || (!firstRequestDue && !candidate.hasCapacity(now))) {
+            double warmupFraction = candidate.ramp().warmupFraction(now);
+            if (!mayReceive(attempts, candidate, warmupFraction, now)
+                    || (!firstRequestDue && !candidate.hasCapacity(now))) {
                 continue;
             }
             if (firstRequestDue) {
                 return candidate; // where the others are quick and have no queue its score would never win
             }
-            double score = score(attempts, candidate, now);
+            double score = score(attempts, candidate, warmupFraction, now);
             if (best == null || score < bestScore) {
                 best = candidate;
                 bestScore = score;
@@ -67,10 +69,8 @@
     }
 
     /** How bad a choice the endpoint is; every call draws a random number. */
-    private double score(AttemptHistory attempts, Endpoint candidate, double now) {
-        double score = (candidate.inFlight() + 1)
-                * candidate.slowness(now)
-                / Math.sqrt(candidate.ramp().warmupFraction(now));
+    private double score(AttemptHistory attempts, Endpoint candidate, double warmupFraction, double now) {
+        double score = (candidate.inFlight() + 1) * candidate.slowness(now) / Math.sqrt(warmupFraction);
         double failureShare = candidate.failures().failureShare(attempts.requestClass(), now);
         score *= (1 + JITTER * random.nextDouble())
                 * (1 + FAILURE_PENALTY * failureShare)
@@ -79,11 +79,10 @@
     }
 
     /** Ejections, the scope of retries and slow start: whether this request may go there now. */
-    private boolean mayReceive(AttemptHistory attempts, Endpoint endpoint, double now) {
+    private boolean mayReceive(AttemptHistory attempts, Endpoint endpoint, double warmupFraction, double now) {
         if (endpoint.isEjected(now) || !idempotency.isInScope(attempts, endpoint)) {
             return false;
         }
-        double warmupFraction = endpoint.ramp().warmupFraction(now);
         return warmupFraction >= 1
                 || endpoint.ramp().isFirstRequestDue(now)
                 || endpoint.slowStartBudget().allowsSend(slowStartRate.sendsPerMs(warmupFraction), now);
@@ -100,7 +99,9 @@
                 .outsideSubset(attempts.requestClass().retryScope(), near, MAX_LOOKED_AT_OUTSIDE)
                 .filter(listed -> listed.zone().equals(near.zone()))
                 .map(listed -> endpoints.find(listed.id()))
-                .filter(other -> !other.isCordoned() && mayReceive(attempts, other, now) && !attempts.wasSentTo(other))
+                .filter(other -> !other.isCordoned()
+                        && mayReceive(attempts, other, other.ramp().warmupFraction(now), now)
+                        && !attempts.wasSentTo(other))
                 .findFirst()
                 .orElse(found);
     }
--- /dev/null
+++ b/src/main/java/quotagateway/policy/statistics/package-info.java
@@ -0,0 +1,2 @@
+/** Averages that forget. */
+package quotagateway.policy.statistics;
--- a/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
+++ b/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
@@ -12,7 +12,7 @@
  * all endpoints are late alike, the concurrency limit of each sees too few responses to notice.
  */
 public final class SendRateLimiter {
-    /** An attempt is late beyond this part of its objective: the rest is what a client's network and a retry take. */
+    /** An attempt counts as late beyond this part of its latency objective. */
     public static final double LATE_PART_OF_OBJECTIVE = 1.0 / 2;
     /** Least step of the rate for each response, as a part of the requests a second: about thirty make the whole. */
     private static final double MIN_STEP = 0.03;
@@ -20,13 +20,13 @@
     private static final double MAX_STEP = 0.25;
     /** Steps down for a late attempt: at three for one up, the rate falls where more than a quarter are late. */
     private static final int LATE_STEPS = 3;
-    /** Sends a second at the least: below, nothing would be learned any more. */
+    /** Sends a second at the least: without any, it would not show when endpoints do better. */
     private static final double MIN_RATE = 0.1;
-    /** And at the least this part of what is asked for: a fleet in trouble still serves some. */
+    /** And at the least this part of what is asked for. */
     private static final double MIN_SHARE_OF_REQUESTS = 1.0 / 8;
-    /** At the most so many times what is asked for: room for retries. */
+    /** At the most so many times what is asked for: retries are sends too. */
     private static final double MAX_PER_REQUEST = 2;
-    /** Burst of the bucket at the least: a request and a retry. */
+    /** Burst of the bucket at the least, for gateways that send less than that in a re-split period. */
     private static final double MIN_BURST = 2;
     /** Attempts at first that all gateways together may have in flight at each endpoint. */
     private static final double INITIAL_IN_FLIGHT = 2;
--- a/src/test/java/quotagateway/policy/CounterCallPacingTest.java
+++ b/src/test/java/quotagateway/policy/CounterCallPacingTest.java
@@ -104,10 +104,9 @@
             before = t < from + 10000 ? gateway.countActions("count") : before;
             gateway.request((long) t, "read", "rate", "c" + t);
             while (!gateway.counterCalls.isEmpty()) {
-                long name = gateway.counterCalls.remove(0)[0];
-                double total = gateway.counterTotals.remove(0);
+                PolicyHarness.CounterCall call = gateway.counterCalls.remove(0);
                 gateway.advanceTo(gateway.now + took);
-                gateway.policy.onCounterReply(gateway.now, name, OK, took, total);
+                gateway.policy.onCounterReply(gateway.now, call.name(), OK, took, call.total());
             }
         }
         return (gateway.countActions("count") - before) / 2.0;
@@ -159,12 +158,8 @@
             while (!done.isEmpty() && done.peek() <= t) {
                 double took = 9 * gateway.counterCalls.size(); // about: those behind it have come since
                 late.add(took);
-                gateway.policy.onCounterReply(
-                        t,
-                        gateway.counterCalls.remove(0)[0],
-                        took > 50 ? CallOutcome.TIMEOUT : OK,
-                        took,
-                        gateway.counterTotals.remove(0));
+                PolicyHarness.CounterCall call = gateway.counterCalls.remove(0);
+                gateway.policy.onCounterReply(t, call.name(), took > 50 ? CallOutcome.TIMEOUT : OK, took, call.total());
                 done.poll();
             }
             for (int k = Math.max(0, t - 500); k <= t; k++) { // what was held meanwhile is answered too
--- a/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
+++ b/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
@@ -32,7 +32,7 @@
     private final Random random = new Random(1);
     private double now = 1000;
     private long sent;
-    private PolicyEvents module;
+    private PolicyEvents policy;
 
     public static void main(String[] args) {
         System.out.println("listed  us/request  us/change  MB  sent/asked");
@@ -72,16 +72,18 @@
         harness.gatewayIndex = 17;
         harness.sharedCounter = false;
         double before = memory();
-        module = new Policy(harness.settings(), 1, now, this);
+        policy = new Policy(harness.settings(), 1, now, this);
         for (int part = 0; part < listed; part += 1000) {
             List<EndpointDescriptor> list = new ArrayList<>();
             for (int i = part; i < Math.min(listed, part + 1000); i++) {
                 list.add(server(i, 0));
             }
-            begin(part == 0);
-            module.onEndpoints(now, list, false);
+            if (part == 0) {
+                policy.onEndpointListStarted(now);
+            }
+            policy.onEndpoints(now, list, false);
         }
-        end();
+        policy.onEndpointListCompleted(now);
         double memory = memory() - before;
         long asked = 0;
         double from = 0;
@@ -92,7 +94,7 @@
             }
             asked += now >= WARM ? 1 : 0;
             to(at);
-            module.onRequest(
+            policy.onRequest(
                     now,
                     new IncomingRequest(
                             (long) (at * 1e3), "read", "big", "c" + random.nextInt(3000), 2000, 1, 2, 0, false));
@@ -101,33 +103,12 @@
         from = cpu();
         for (int i = 0; i < CHANGES; i++) {
             now += 1;
-            module.onEndpoints(now, List.of(server(random.nextInt(listed), i % 2 == 0 ? 0 : 1)), false);
+            policy.onEndpoints(now, List.of(server(random.nextInt(listed), i % 2 == 0 ? 0 : 1)), false);
         }
         System.out.printf(
                 "%6d  %9.1f  %9.1f  %6.2f  %d/%d%n", listed, request, (cpu() - from) / CHANGES, memory, sent, asked);
     }
 
-    /** Modules from before lists came in parts have none of these. */
-    private void begin(boolean first) {
-        if (first) {
-            call("listBegins");
-        }
-    }
-
-    private void end() {
-        call("listEnds");
-    }
-
-    private void call(String event) {
-        try {
-            PolicyEvents.class.getMethod(event, double.class).invoke(module, now);
-        } catch (NoSuchMethodException e) {
-            return;
-        } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
     private void to(double time) {
         while (true) {
             double timer = timers.isEmpty() ? time + 1 : timers.peek();
@@ -138,10 +119,10 @@
             now = Math.max(now, Math.min(timer, end));
             if (timer <= end) {
                 timers.poll();
-                module.onTimer(now, 0);
+                policy.onTimer(now, 0);
             } else {
                 double[] a = ends.poll();
-                module.onAttemptEnded(now, (long) a[1], 0, CallOutcome.OK, a[2], true, 0, new double[0]);
+                policy.onAttemptEnded(now, (long) a[1], 0, CallOutcome.OK, a[2], true, 0, new double[0]);
             }
         }
         now = time;
--- a/src/test/java/quotagateway/policy/PolicyHarness.java
+++ b/src/test/java/quotagateway/policy/PolicyHarness.java
@@ -22,10 +22,14 @@
 
 /** A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on demand. */
 final class PolicyHarness implements PolicyActions {
+    record CounterCall(long name, double total) {}
+
+    record Timer(double at, long token) {}
+
     final List<String> log = new ArrayList<>();
-    final List<double[]> timers = new ArrayList<>();
-    final List<long[]> counterCalls = new ArrayList<>();
-    final List<Double> counterTotals = new ArrayList<>();
+    final List<Timer> timers = new ArrayList<>();
+    /** Counter calls that have no reply yet, with the total that each led to. */
+    final List<CounterCall> counterCalls = new ArrayList<>();
     /** The servers that the module uses at present. */
     final Set<String> retained = new TreeSet<>();
 
@@ -112,7 +116,8 @@
     /** Answers the calls made so far, with the totals that stood when they were made. */
     void replyToCounterCalls(CallOutcome outcome) {
         for (int n = counterCalls.size(); n > 0; n--) {
-            policy.onCounterReply(now, counterCalls.remove(0)[0], outcome, 2, counterTotals.remove(0));
+            CounterCall call = counterCalls.remove(0);
+            policy.onCounterReply(now, call.name(), outcome, 2, call.total());
         }
     }
 
@@ -131,18 +136,18 @@
     /** Advances the clock, firing the timers that fall due. */
     void advanceTo(double time) {
         while (true) {
-            double[] next = null;
-            for (double[] t : timers) {
-                if (t[0] <= time && (next == null || t[0] < next[0])) {
-                    next = t;
+            Timer next = null;
+            for (Timer timer : timers) {
+                if (timer.at() <= time && (next == null || timer.at() < next.at())) {
+                    next = timer;
                 }
             }
             if (next == null) {
                 break;
             }
             timers.remove(next);
-            now = Math.max(now, next[0]);
-            policy.onTimer(now, (long) next[1]);
+            now = Math.max(now, next.at());
+            policy.onTimer(now, next.token());
         }
         now = time;
     }
@@ -184,7 +189,7 @@
 
     @Override
     public void scheduleTimer(double delay, long token) {
-        timers.add(new double[] {now + delay, token});
+        timers.add(new Timer(now + delay, token));
     }
 
     @Override
@@ -195,8 +200,7 @@
     @Override
     public void addToCounter(long name, double amount, double keepFor) {
         log.add("count " + amount);
-        counterCalls.add(new long[] {name});
-        counterTotals.add(counter.merge(name, amount, Double::sum));
+        counterCalls.add(new CounterCall(name, counter.merge(name, amount, Double::sum)));
     }
 
     @Override
--- a/src/test/java/quotagateway/policy/QuotaAdmissionTest.java
+++ b/src/test/java/quotagateway/policy/QuotaAdmissionTest.java
@@ -66,7 +66,7 @@
         gateway.replyToCounterCalls(OK);
         assertEquals(1, gateway.countActions("send 1"));
         gateway.request(2, "read", "open", "c");
-        long name = gateway.counterCalls.remove(0)[0];
+        long name = gateway.counterCalls.remove(0).name();
         gateway.policy.onCounterReply(0, name, OK, 2, 4);
         assertEquals(0, gateway.countActions("send 2"), "the fourth slot of three");
         assertEquals(1, gateway.countActions("count -1.0"), "given back");
