--- a/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
+++ b/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
@@ -73,17 +73,7 @@
         harness.sharedCounter = false;
         double before = memory();
         policy = new Policy(harness.settings(), 1, now, this);
-        for (int part = 0; part < listed; part += 1000) {
-            List<EndpointDescriptor> list = new ArrayList<>();
-            for (int i = part; i < Math.min(listed, part + 1000); i++) {
-                list.add(server(i, 0));
-            }
-            if (part == 0) {
-                policy.onEndpointListStarted(now);
-            }
-            policy.onEndpoints(now, list, false);
-        }
-        policy.onEndpointListCompleted(now);
+        sendList(listed);
         double memory = memory() - before;
         long asked = 0;
         double from = 0;
@@ -109,6 +99,19 @@
                 "%6d  %9.1f  %9.1f  %6.2f  %d/%d%n", listed, request, (cpu() - from) / CHANGES, memory, sent, asked);
     }
 
+    /** Gives the policy a complete list in parts. */
+    private void sendList(int listed) {
+        policy.onEndpointListStarted(now);
+        for (int part = 0; part < listed; part += 1000) {
+            List<EndpointDescriptor> list = new ArrayList<>();
+            for (int i = part; i < Math.min(listed, part + 1000); i++) {
+                list.add(server(i, 0));
+            }
+            policy.onEndpoints(now, list, false);
+        }
+        policy.onEndpointListCompleted(now);
+    }
+
     private void to(double time) {
         while (true) {
             double timer = timers.isEmpty() ? time + 1 : timers.peek();
