--- /dev/null
+++ b/src/test/java/quotagateway/policy/golden/GoldenPolicyTest.java
@@ -0,0 +1,59 @@
+package quotagateway.policy.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.fail;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Assumptions;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Holds every decision of the policy to what it was when the hashes under {@code src/test/resources/golden} were
+ * written: whole fleets run on a virtual clock among faults, and each virtual second of all events and actions has one
+ * hash. After a change that is meant to alter decisions the hashes are written anew by
+ *
+ * <pre>mvn -q -B -o -Dtest=GoldenPolicyTest -Dgolden.write=true test</pre>
+ *
+ * which reports the tests as skipped. With {@code -Dgolden.transcript=true} all lines are written to
+ * {@code target/golden}, so that the runs of two commits can be compared by {@code diff}.
+ */
+class GoldenPolicyTest {
+    private static final Path HASHES = Path.of("src", "test", "resources", "golden");
+    private static final Path TRANSCRIPTS = Path.of("target", "golden");
+
+    static List<GoldenScenario> scenarios() {
+        return GoldenScenario.all();
+    }
+
+    @ParameterizedTest
+    @MethodSource("scenarios")
+    void everyEventAndActionIsAsRecorded(GoldenScenario scenario) throws IOException {
+        boolean keepText = Boolean.getBoolean("golden.transcript");
+        Transcript transcript = new Transcript(keepText);
+        new FakeFleet(scenario, transcript).run();
+        if (keepText) {
+            Files.createDirectories(TRANSCRIPTS);
+            Files.writeString(TRANSCRIPTS.resolve(scenario.name() + ".txt"), transcript.text());
+        }
+        Path file = HASHES.resolve(scenario.name() + ".txt");
+        if (Boolean.getBoolean("golden.write")) {
+            Files.createDirectories(HASHES);
+            Files.write(file, transcript.hashes());
+            Assumptions.abort("hashes written anew: " + file);
+        }
+        compare(scenario, Files.readAllLines(file), transcript.hashes());
+    }
+
+    private static void compare(GoldenScenario scenario, List<String> recorded, List<String> actual) {
+        assertEquals(recorded.size(), actual.size(), "virtual seconds of " + scenario.name());
+        for (int second = 0; second < recorded.size(); second++) {
+            if (!recorded.get(second).equals(actual.get(second))) {
+                fail(scenario.name() + ": events or actions differ first in virtual second " + second);
+            }
+        }
+    }
+}
