--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -293,6 +293,17 @@
         return open.isEmpty() && leaving.isEmpty();
     }
 
+    /** Listens no more, at once: the node has ended. Where it never listened there is nothing to close. */
+    public void close() {
+        if (listener != null) {
+            listener.close().addListener(closed -> {
+                if (!closed.isSuccess()) {
+                    loop.logFailure("closing the listener", closed.cause());
+                }
+            });
+        }
+    }
+
     /** Reads on where connections were held back for memory. */
     public void resumeReading() {
         for (ClientConnection c : open.toArray(new ClientConnection[0])) {
--- a/src/main/java/quotagateway/node/GracefulShutdown.java
+++ b/src/main/java/quotagateway/node/GracefulShutdown.java
@@ -129,8 +129,10 @@
         }
     }
 
+    /** The listener is closed here, as an event loop that ends within its tasks does not close its channels. */
     private void end() {
         state.end();
+        clients.close();
         telemetry.flush();
         ended.complete(null);
     }
