--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -157,6 +157,17 @@
         }
     }
 
+    /** Listens no more, at once: the node has ended. Where it never listened there is nothing to close. */
+    public void close() {
+        if (serverChannel != null) {
+            serverChannel.close().addListener(closed -> {
+                if (!closed.isSuccess()) {
+                    loop.logFailure("closing the listener", closed.cause());
+                }
+            });
+        }
+    }
+
     /** Lets connections read on that were held back because too much was buffered for all requests. */
     public void resumeReading() {
         connections.resumeReading();
