--- /dev/null
+++ b/src/test/java/quotagateway/policy/slowstart/SlowStartRateTest.java
@@ -0,0 +1,65 @@
+package quotagateway.policy.slowstart;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import quotagateway.policy.api.PolicySettings;
+import quotagateway.policy.api.ServiceRules;
+import quotagateway.policy.statistics.LatencyObjectives;
+import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.RecordingActions;
+import quotagateway.policy.timer.EventClock;
+import quotagateway.policy.timer.TimerQueue;
+import quotagateway.policy.traffic.SendRateLimiter;
+import quotagateway.policy.traffic.TrafficMeter;
+
+class SlowStartRateTest {
+    private final PolicySettings settings = PolicyValues.settings(1);
+    private final EventClock clock = new EventClock(0);
+    private final TrafficMeter traffic = new TrafficMeter();
+    private final FleetSizeEstimator fleetSize = new FleetSizeEstimator();
+    private final SendRateLimiter limiter = new SendRateLimiter(
+            settings, new LatencyObjectives(800, 800), clock, new TimerQueue(clock, new RecordingActions()), traffic);
+
+    private double sendsPerSecond(ServiceRules rules, double warmupFraction) {
+        return 1000 * new SlowStartRate(rules, traffic, limiter, fleetSize).sendsPerMs(warmupFraction);
+    }
+
+    private void traffic(int requestsInPeriod, int sendsInPeriod) {
+        for (int period = 0; period < 200; period++) {
+            for (int i = 0; i < requestsInPeriod; i++) {
+                traffic.onRequest();
+            }
+            for (int i = 0; i < sendsInPeriod; i++) {
+                traffic.onSend(50);
+            }
+            traffic.endPeriod();
+        }
+    }
+
+    @Test
+    void endpointInSlowStartGetsItsPartOfWhatIsSent() {
+        traffic(10, 10);
+        fleetSize.onGrowth(20);
+        assertEquals(2 * 0.5, sendsPerSecond(PolicyValues.RULES, 0.5), 1e-3, "40 a second to 20 endpoints");
+    }
+
+    @Test
+    void whatIsAskedForCountsAsFarAsTheSendRateAllowsIt() {
+        traffic(10, 10);
+        for (int period = 0; period < 20; period++) { // all endpoints cold: nothing is sent
+            traffic.onRequest();
+            traffic.endPeriod();
+        }
+        assertEquals(traffic.sendsPerSecond(), sendsPerSecond(PolicyValues.RULES, 1), 1e-9, "no rate is allowed");
+        limiter.startWith(100);
+        assertEquals(traffic.requestsPerSecond() * traffic.sentShare(), sendsPerSecond(PolicyValues.RULES, 1), 1e-9);
+    }
+
+    @Test
+    void largerOverloadFactorAllowsHalfOfIt() {
+        traffic(10, 10);
+        ServiceRules rules = new ServiceRules(16, 250, 0.2, 10_000, 6, 2000);
+        assertEquals(3 * 40, sendsPerSecond(rules, 1), 1e-2);
+    }
+}
