--- a/src/main/java/quotagateway/policy/quota/GrantEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/GrantEstimator.java
@@ -14,30 +14,34 @@
     private final QuotaPlan plan;
     private final SendRateLimiter limiter;
     private final Ewma usualGrant;
-    private final Ewma grant;
+    private double grant;
 
     /** @param usualGrant that of all customers, where this one begins */
     GrantEstimator(QuotaPlan plan, SendRateLimiter limiter, Ewma usualGrant) {
         this.plan = plan;
         this.limiter = limiter;
         this.usualGrant = usualGrant;
-        grant = new Ewma(WEIGHT, usualGrant.value());
+        grant = usualGrant.value();
     }
 
     /** This part of a claim was granted, from 0 to 1. */
     void recordClaim(double granted) {
-        grant.add(granted);
+        record(granted);
         usualGrant.add(granted);
     }
 
     /** A try for a slot has succeeded or not. */
     void recordSlot(boolean granted) {
-        grant.add(granted ? 1 : 0);
+        record(granted ? 1 : 0);
+    }
+
+    private void record(double granted) {
+        grant += (granted - grant) * WEIGHT;
     }
 
     /** Whether more than half of what is claimed is granted. */
     boolean isMostlyGranted() {
-        return grant.value() > 0.5;
+        return grant > 0.5;
     }
 
     /**
@@ -47,6 +51,6 @@
     boolean paysToAdmitUnasked() {
         double cost = plan.excessCost();
         double breakEven = cost / (1 + cost - Math.min(plan.excessWeight(), MAX_EXCESS_WEIGHT));
-        return limiter.isAboveDemand() && grant.value() > breakEven;
+        return limiter.isAboveDemand() && grant > breakEven;
     }
 }
