--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -104,7 +104,7 @@
         try {
             saved.read(lists.newParser(ConfiguredAddress.initial(address.address())));
         } catch (IOException | RuntimeException e) {
-            loop.logFailure("list known from before", e); // the agent has another
+            loop.logFailure("cached endpoint list", e); // the agent has another
         }
     }
 
@@ -122,7 +122,7 @@
             return;
         }
         address = address.replacedBy(newAddress);
-        logStep(address, Step.MOVED);
+        logStep(address, Step.ADDRESS_CHANGED);
         version = NO_VERSION;
         backoff.reset();
         if (connection != null) {
@@ -138,7 +138,7 @@
     private void checkDeadline() {
         loop.schedule(CHECK_INTERVAL_MS, this::checkDeadline);
         if (connection != null && loop.now() > connection.deadline()) {
-            logStep(address, Step.SILENT);
+            logStep(address, Step.TIMED_OUT);
             connection.close();
         }
     }
@@ -169,7 +169,7 @@
     }
 
     private void onConnectFailed(ConfiguredAddress target) {
-        logStep(target, Step.UNREACHED);
+        logStep(target, Step.CONNECT_FAILED);
         if (isCurrent(target)) {
             backOff();
         }
@@ -218,7 +218,7 @@
 
     /** The agent does not know the version any more; asked from it again it would refuse for ever. */
     void onRefused(ConfiguredAddress source) {
-        logStep(source, Step.REFUSED);
+        logStep(source, Step.REJECTED);
         if (isCurrent(source)) {
             version = NO_VERSION;
         }
@@ -230,7 +230,7 @@
             return;
         }
         version = Double.isNaN(listVersion) ? version : (long) listVersion;
-        logStep(source, complete ? Step.TOLD_WHOLE : Step.TOLD);
+        logStep(source, complete ? Step.LIST_RECEIVED : Step.CHANGES_RECEIVED);
         if (complete) {
             List<DiscoveryConnection> closing = List.copyOf(replacedConnections); // each takes itself off the list
             replacedConnections.clear();
@@ -241,7 +241,7 @@
     /** A connection that was up has ended. */
     void onDisconnected(DiscoveryConnection closed) {
         replacedConnections.remove(closed);
-        logStep(closed.source(), Step.ENDED);
+        logStep(closed.source(), Step.CLOSED);
         if (closed == connection) {
             connection = null;
             backOff();
--- a/src/main/java/quotagateway/discovery/DiscoveryConnection.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryConnection.java
@@ -87,7 +87,7 @@
 
     private void sendRequest(ChannelHandlerContext ctx) {
         watching = client.hasVersion();
-        client.logStep(source, watching ? Step.WATCH_ASKED : Step.LIST_ASKED);
+        client.logStep(source, watching ? Step.WATCH_REQUESTED : Step.LIST_REQUESTED);
         watchAnswered = false;
         timeout.onRequest(loop.now(), client.nextAnswerTimeoutMs());
         InetSocketAddress address = source.address();
--- a/src/main/java/quotagateway/log/NodeEvent.java
+++ b/src/main/java/quotagateway/log/NodeEvent.java
@@ -118,15 +118,15 @@
     record DiscoveryCall(InetSocketAddress address, Step step, long version) implements NodeEvent {
         /** The steps of a call. */
         public enum Step {
-            MOVED,
-            UNREACHED,
-            LIST_ASKED,
-            WATCH_ASKED,
-            TOLD,
-            TOLD_WHOLE,
-            REFUSED,
-            SILENT,
-            ENDED
+            ADDRESS_CHANGED,
+            CONNECT_FAILED,
+            LIST_REQUESTED,
+            WATCH_REQUESTED,
+            CHANGES_RECEIVED,
+            LIST_RECEIVED,
+            REJECTED,
+            TIMED_OUT,
+            CLOSED
         }
 
         @Override
@@ -156,7 +156,7 @@
     record InvariantViolated(Invariant invariant, String request) implements NodeEvent {
         @Override
         public String text() {
-            return "violation invariant=" + invariant + (request == null ? "" : " request=" + request);
+            return "invariant_violated invariant=" + invariant + (request == null ? "" : " request=" + request);
         }
     }
 
--- a/src/main/java/quotagateway/node/BackendClients.java
+++ b/src/main/java/quotagateway/node/BackendClients.java
@@ -47,7 +47,7 @@
      */
     void start(NodeEventLoop loop, GatewayConfig config) {
         discovery.ready().thenRun(() -> StartupTimeline.phaseEnded("discovery"));
-        endpoints.ready().thenRun(() -> StartupTimeline.phaseEnded("servers"));
+        endpoints.ready().thenRun(() -> StartupTimeline.phaseEnded("endpoints"));
         counter.ready().thenRun(() -> StartupTimeline.phaseEnded("counter"));
         loop.runGuarded(() -> discovery.start(config.cachedEndpoints()));
         counter.start();
--- a/src/main/java/quotagateway/node/NodeStartup.java
+++ b/src/main/java/quotagateway/node/NodeStartup.java
@@ -92,12 +92,12 @@
         cordons.startPolling();
         backends.start(loop, config);
         clients.start();
-        StartupTimeline.phaseEnded("loop and module");
+        StartupTimeline.phaseEnded("loop and policy");
     }
 
     private static void awaitReady(CompletableFuture<Void> ready) throws IOException {
         try {
-            ready.get((long) Readiness.LIST_WITHOUT + MAX_LOOP_DELAY_MS, TimeUnit.MILLISECONDS);
+            ready.get((long) Readiness.MAX_WAIT_WITHOUT_LIST_MS + MAX_LOOP_DELAY_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             System.err.println("ready, with the loop held up");
         } catch (ExecutionException e) {
--- a/src/main/java/quotagateway/node/PolicyInvoker.java
+++ b/src/main/java/quotagateway/node/PolicyInvoker.java
@@ -37,7 +37,7 @@
             event.accept(policy);
             return true;
         } catch (RuntimeException | Error e) {
-            loop.logFailure("module", e);
+            loop.logFailure("policy", e);
             return false;
         }
     }
@@ -46,7 +46,7 @@
         try {
             return question.apply(policy);
         } catch (RuntimeException | Error e) {
-            loop.logFailure("module", e);
+            loop.logFailure("policy", e);
             return answerOnFailure;
         }
     }
--- a/src/main/java/quotagateway/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -250,7 +250,7 @@
         for (NodeSlot node : nodes) {
             node.log()
                     .lines()
-                    .filter(line -> line.contains(" violation "))
+                    .filter(line -> line.contains(" invariant_violated "))
                     .limit(LOG_LINES)
                     .forEach(line -> violations.add(new Violation("invariant", "n" + node.number + " " + line)));
             node.log()
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -47,7 +47,7 @@
      * core beside other processes that start it would take longer, and a gateway with interpreted code is better than
      * none.
      */
-    public static final double MOST_TIME = 2500;
+    public static final double MAX_TIME_MS = 2500;
 
     private static final double NANOS_PER_MS = 1e6;
     private static final int ENDPOINTS = 8;
@@ -86,7 +86,7 @@
 
     static void run(PolicySettings settings, PolicyFactory policyFactory, DoubleSupplier clockMs) {
         try {
-            double until = clockMs.getAsDouble() + MOST_TIME;
+            double until = clockMs.getAsDouble() + MAX_TIME_MS;
             JitWarmup warmup = new JitWarmup(settings, policyFactory);
             boolean hasRequests =
                     !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
--- a/src/main/java/quotagateway/startup/Readiness.java
+++ b/src/main/java/quotagateway/startup/Readiness.java
@@ -11,9 +11,9 @@
  *
  * <table><caption>Longest start (ms) behind the JVM's own</caption>
  * <tr><th>phase</th><th>bound</th><th>ms</th></tr>
- * <tr><td>warm-up</td><td>JitWarmup.MOST_TIME</td><td>2500</td></tr>
+ * <tr><td>warm-up</td><td>JitWarmup.MAX_TIME_MS</td><td>2500</td></tr>
  * <tr><td>waits, with a cached list</td><td>MAX_WAIT_WITH_LIST_MS</td><td>2000</td></tr>
- * <tr><td>waits, without</td><td>LIST_WITHOUT, or READY_BY_MS less the phases before</td><td>4000</td></tr>
+ * <tr><td>waits, without</td><td>MAX_WAIT_WITHOUT_LIST_MS, or READY_BY_MS less the phases before</td><td>4000</td></tr>
  * <tr><td>all, while the phases before stay under READY_BY_MS - CACHED_LIST_AFTER_MS</td><td>READY_BY_MS</td>
  * <td>5000</td></tr></table>
  */
@@ -27,7 +27,7 @@
     /** Connections that are not up by then are made when a request needs them. */
     private static final double MAX_WAIT_WITH_LIST_MS = 2000;
     /** Without any list there is nothing to serve by, so it is waited for longer (ms). */
-    public static final double LIST_WITHOUT = 4000;
+    public static final double MAX_WAIT_WITHOUT_LIST_MS = 4000;
     /** Ready by then, counted from the start of the program, as far as the processor allows it. */
     private static final double READY_BY_MS = 5000;
 
@@ -57,7 +57,8 @@
         }
         CompletableFuture<Void> ready = new CompletableFuture<>();
         CompletableFuture.allOf(list, endpoints, counter).thenRun(() -> ready.complete(null));
-        double maxWaitMs = Math.min(hasCachedList ? MAX_WAIT_WITH_LIST_MS : LIST_WITHOUT, READY_BY_MS - elapsedMs);
+        double maxWaitMs =
+                Math.min(hasCachedList ? MAX_WAIT_WITH_LIST_MS : MAX_WAIT_WITHOUT_LIST_MS, READY_BY_MS - elapsedMs);
         clock.schedule(Math.max(CACHED_LIST_AFTER_MS, maxWaitMs), () -> ready.complete(null));
         return ready;
     }
--- a/src/main/java/quotagateway/upstream/EndpointConnection.java
+++ b/src/main/java/quotagateway/upstream/EndpointConnection.java
@@ -346,7 +346,7 @@
         // behind our own close the codec only complains of what it had not read to its end
         boolean expected = attempt == null && !channel.isActive();
         if (!(cause instanceof IOException) && !expected) {
-            loop.logFailure("app server connection", cause);
+            loop.logFailure("endpoint connection", cause);
             failUnreadable(); // a fault in this reply, not a failure of the endpoint
         }
         close(CloseReason.ERROR);
--- a/src/main/java/quotagateway/upstream/EndpointReplyParser.java
+++ b/src/main/java/quotagateway/upstream/EndpointReplyParser.java
@@ -54,7 +54,7 @@
     private EndpointReply parseError(String text) {
         boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
         if (!busy && !text.startsWith("ERR ")) {
-            loop.logFailure("app server", new IllegalStateException(text));
+            loop.logFailure("endpoint", new IllegalStateException(text));
             return null;
         }
         int lastSpace = text.lastIndexOf(' ');
--- a/src/test/java/quotagateway/node/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -60,7 +60,7 @@
                 assertTrue(ready(spent, false, never) <= Math.max(5000, spent + 800));
             }
         }
-        assertTrue(JitWarmup.MOST_TIME + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
+        assertTrue(JitWarmup.MAX_TIME_MS + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
     }
 
     /** Counter and app servers take connections and say nothing, and discovery may do the same. */
--- a/src/test/java/quotagateway/startup/JitWarmupTest.java
+++ b/src/test/java/quotagateway/startup/JitWarmupTest.java
@@ -23,7 +23,7 @@
               "request_classes":[{"name":"r","effect":"read_like","aim":6,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""), Map.of());
         double[] now = {0};
-        double each = JitWarmup.MOST_TIME / 5;
+        double each = JitWarmup.MAX_TIME_MS / 5;
         JitWarmup.run(
                 config.settings(),
                 (settings, seed, time, act) -> (PolicyEvents) java.lang.reflect.Proxy.newProxyInstance(
@@ -32,7 +32,7 @@
                             return null;
                         }),
                 () -> now[0]);
-        assertEquals(JitWarmup.MOST_TIME, now[0]);
+        assertEquals(JitWarmup.MAX_TIME_MS, now[0]);
     }
 
     @Test
