--- a/src/test/java/quotagateway/node/AdminServerTest.java
+++ b/src/test/java/quotagateway/node/AdminServerTest.java
@@ -12,12 +12,12 @@
 import quotagateway.config.GatewayConfig;
 import quotagateway.config.Json;
 
-/** Calls at the operators' door: good ones, wrong ones, and callers that never finish one. */
+/** Calls to the admin endpoint: correct ones, wrong ones, and callers that never finish one. */
 class AdminServerTest extends NodeFixture {
     private Peer.Connection caller() throws Exception {
-        Peer.Connection line = Peer.Connection.connect(((InetSocketAddress) node.adminAddress()).getPort());
-        closeables.add(line);
-        return line;
+        Peer.Connection connection = Peer.Connection.connect(((InetSocketAddress) node.adminAddress()).getPort());
+        closeables.add(connection);
+        return connection;
     }
 
     @Test
@@ -25,7 +25,7 @@
         start();
         assertEquals(List.of("200", "takes clients\n"), callAdmin(node, "GET", "/admin/health"));
         drained = true;
-        sendGet(connectClient(), "01", "hold", 20_000); // keeps the node for a while
+        sendGet(connectClient(), "01", "hold", 20_000); // an open request: the shutdown waits for it
         expectRequest(1, "hold");
         Thread draining = new Thread(node::drain);
         draining.start();
@@ -47,9 +47,9 @@
         Peer.Connection garbage = caller();
         garbage.write("\u0000\u0001garbage\r\n\r\n");
         assertEquals("400", readHttpResponse(garbage).get(0));
-        Peer.Connection line = caller();
-        line.write("GET /" + "x".repeat(5000) + " HTTP/1.1\r\n\r\n");
-        assertEquals("414", readHttpResponse(line).get(0));
+        Peer.Connection connection = caller();
+        connection.write("GET /" + "x".repeat(5000) + " HTTP/1.1\r\n\r\n");
+        assertEquals("414", readHttpResponse(connection).get(0));
         Peer.Connection head = caller();
         head.write("GET /admin/health HTTP/1.1\r\nx: " + "x".repeat(9000) + "\r\n\r\n");
         assertEquals("431", readHttpResponse(head).get(0));
@@ -58,31 +58,31 @@
         assertEquals("413", readHttpResponse(body).get(0));
     }
 
-    /** A caller may end its own side behind the call; the second call on a connection is not heard. */
+    /** A caller may shut down its side behind its call; a second call on the connection is ignored. */
     @Test
     void connectionEndsBehindItsFirstCall() throws Exception {
         start();
-        Peer.Connection line = caller();
-        line.write("GET /admin/health HTTP/1.1\r\n\r\nGET /admin/health HTTP/1.1\r\n\r\n");
-        line.socket.shutdownOutput();
-        assertEquals(List.of("200", "takes clients\n"), readHttpResponse(line));
+        Peer.Connection connection = caller();
+        connection.write("GET /admin/health HTTP/1.1\r\n\r\nGET /admin/health HTTP/1.1\r\n\r\n");
+        connection.socket.shutdownOutput();
+        assertEquals(List.of("200", "takes clients\n"), readHttpResponse(connection));
     }
 
-    /** Callers that send nothing or half a call hold neither the next call nor the sockets for long. */
+    /** Callers that send nothing or half a call neither hold up the next call nor keep descriptors for long. */
     @Test
     void idleAndIncompleteCallersGiveWayToNewOnes() throws Exception {
         start();
         List<Peer.Connection> idle = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Peer.Connection line = caller();
+            Peer.Connection connection = caller();
             if (i % 2 == 0) {
-                line.write("GET /admin/hea");
+                connection.write("GET /admin/hea");
             }
-            idle.add(line);
+            idle.add(connection);
         }
         assertEquals("200", callAdmin(node, "GET", "/admin/health").get(0));
-        for (Peer.Connection line : idle) {
-            assertTrue(line.awaitEnd());
+        for (Peer.Connection connection : idle) {
+            assertTrue(connection.awaitEnd());
         }
     }
 
--- a/src/test/java/quotagateway/node/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/node/ClientDisconnectTest.java
@@ -18,21 +18,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import quotagateway.transport.Transport;
 
-/** Nothing begins for a client that has gone: under both transports, as one tells an end and one does not. */
+/**
+ * No attempt begins for a client that has disconnected. Under both transports: epoll reports an end of the connection
+ * by itself, NIO only when it is read.
+ */
 class ClientDisconnectTest extends NodeFixture {
     private static final int PIPELINED = 256;
-    /** No deadline ends what these tests wait for. */
-    private static final int LONG = 60_000;
+    /** A client timeout (ms) that no test reaches. */
+    private static final int NEVER_MS = 60_000;
 
     private void start(boolean epoll) throws Exception {
         assumeTrue(!epoll || Epoll.isAvailable());
         Transport.epoll = epoll;
-        recordDiscoveryFailures = false; // of the watch, whenever that falls
+        recordDiscoveryFailures = false; // the watch may fall silent in between
         start();
     }
 
     @AfterEach
-    void transport() {
+    void restoreTransport() {
         Transport.epoll = Epoll.isAvailable();
     }
 
@@ -41,51 +44,51 @@
         return super.configJson().replace("\"connect_timeout\":250", "\"connect_timeout\":60000");
     }
 
-    private void goneAll(int first, int last) throws InterruptedException {
-        Set<String> left = new HashSet<>();
+    private void expectDisconnects(int first, int last) throws InterruptedException {
+        Set<String> missing = new HashSet<>();
         for (int i = first; i <= last; i++) {
-            left.add("gone " + i);
+            missing.add("gone " + i);
         }
-        while (!left.isEmpty()) {
-            String what = policyEvents.poll(10, TimeUnit.SECONDS);
-            assertTrue(left.remove(what), what + " with " + left.size() + " to go");
+        while (!missing.isEmpty()) {
+            String event = policyEvents.poll(10, TimeUnit.SECONDS);
+            assertTrue(missing.remove(event), event + " with " + missing.size() + " to go");
         }
     }
 
-    private Peer.Connection full() throws Exception {
+    private Peer.Connection clientAtThePipelineLimit() throws Exception {
         Peer.Connection client = connectClient();
         for (int i = 1; i <= PIPELINED; i++) {
-            sendGet(client, Integer.toHexString(i), "hold", LONG);
+            sendGet(client, Integer.toHexString(i), "hold", NEVER_MS);
             expectRequest(i, "hold");
         }
         return client;
     }
 
-    /** Under NIO the end was seen when reading went on, which was at the deadlines. */
+    /** At the limit on pipelined requests the connection is not read on, but its end must be seen all the same. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void disconnectIsSeenWhileTooMuchIsUnansweredToReadOn(boolean epoll) throws Exception {
         start(epoll);
-        Peer.Connection client = full();
+        Peer.Connection client = clientAtThePipelineLimit();
         client.sendCommand("PING");
         client.close();
-        goneAll(1, PIPELINED);
-        Peer.Connection other = connectClient();
-        sendGet(other, "ff01", "refuse", 900);
-        assertEquals(List.of("-BUSY 1500"), other.readMessage());
+        expectDisconnects(1, PIPELINED);
+        Peer.Connection otherClient = connectClient();
+        sendGet(otherClient, "ff01", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), otherClient.readMessage());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void disconnectIsSeenWhileMoreIsUnreadThanIsReadAhead(boolean epoll) throws Exception {
         start(epoll);
-        Peer.Connection client = full();
+        Peer.Connection client = clientAtThePipelineLimit();
         client.write("*1\r\n$4\r\nPING\r\n".repeat(11_000)); // 150 KB
         client.close();
-        goneAll(1, PIPELINED);
+        expectDisconnects(1, PIPELINED);
     }
 
-    /** What is held back is taken in its order, and all of it, once there is room. */
+    /** What was not read on is accepted in its order, and all of it, once earlier requests are answered. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void clientThatStaysLosesNothing(boolean epoll) throws Exception {
@@ -109,38 +112,40 @@
     @ValueSource(booleans = {true, false})
     void disconnectIsSeenWhileClientsAreNotReadForMemory(boolean epoll) throws Exception {
         start(epoll);
-        Peer.Connection big = connectClient();
+        Peer.Connection largeClient = connectClient();
         String body = "x".repeat(64 * 1024);
-        int bodies = 128; // 64 KB and a head each: over 8 MB
+        int bodies = 128; // 64 KB and a header each: over the 8 MB of the memory budget
         for (int i = 1; i <= bodies; i++) {
-            big.sendCommand("CALL.POST", CUSTOMER, "b" + i, "c=hold,t=p,d=" + LONG + ",units=2,spread=3,first=1", body);
+            largeClient.sendCommand(
+                    "CALL.POST", CUSTOMER, "b" + i, "c=hold,t=p,d=" + NEVER_MS + ",units=2,spread=3,first=1", body);
             expectRequest(i, "hold");
         }
         Peer.Connection client = connectClient();
-        sendGet(client, "01", "hold", LONG);
+        sendGet(client, "01", "hold", NEVER_MS);
         expectRequest(bodies + 1, "hold");
-        sendGet(client, "02", "hold", LONG);
-        client.socket.shutdownOutput(); // half a close is one too
+        sendGet(client, "02", "hold", NEVER_MS);
+        client.socket.shutdownOutput(); // a half-close counts as a disconnect
         expectEvent("gone " + (bodies + 1));
         assertTrue(client.awaitEnd());
-        big.socket.setSoLinger(true, 0); // a reset
-        big.close();
-        goneAll(1, bodies);
+        largeClient.socket.setSoLinger(true, 0); // a reset
+        largeClient.close();
+        expectDisconnects(1, bodies);
     }
 
-    /** An attempt stayed in line for a connection that does not come up, to its time-out. */
+    /** An attempt that waits for a connection is withdrawn with its client, not at its timeout. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void attemptThatWaitsForItsConnectionIsNotSentBehindADisconnect(boolean epoll) throws Exception {
         start(epoll);
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            for (int i = 0; i < 2; i++) { // its queue is full: no connection comes up from here on
-                closeables.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
+        try (ServerSocket endpointWithFullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            for (int i = 0; i < 2; i++) { // fills its backlog: no connection comes up from here on
+                closeables.add(
+                        new Socket(endpointWithFullBacklog.getInetAddress(), endpointWithFullBacklog.getLocalPort()));
             }
-            pushToWatch(list(42, false, entry("s0", "127.0.0.1:" + deaf.getLocalPort(), "active")));
+            pushToWatch(list(42, false, entry("s0", "127.0.0.1:" + endpointWithFullBacklog.getLocalPort(), "active")));
             expectEvent("changes s0 UP");
             Peer.Connection client = connectClient();
-            sendGet(client, "01", "read", LONG);
+            sendGet(client, "01", "read", NEVER_MS);
             expectRequest(1, "read");
             client.close();
             expectEvent("gone 1");
@@ -148,48 +153,48 @@
         }
     }
 
-    /** Of ends that come together the first gave its turn to a client whose own was not told yet. */
+    /** When several ends are read in one round, the first must not send an attempt for a client that has gone too. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void disconnectsThatComeTogetherAreAllSeenBeforeAnythingIsSent(boolean epoll) throws Exception {
         start(epoll);
         sendNextAfterDisconnectOf = 1;
         Peer.Connection first = connectClient();
-        sendGet(first, "01", "hold", LONG);
+        sendGet(first, "01", "hold", NEVER_MS);
         expectRequest(1, "hold");
         Peer.Connection second = connectClient();
-        sendGet(second, "02", "hold", LONG);
+        sendGet(second, "02", "hold", NEVER_MS);
         expectRequest(2, "hold");
         Peer.Connection busy = connectClient();
-        sendGet(busy, "03", "stall", LONG);
+        sendGet(busy, "03", "stall", NEVER_MS);
         expectRequest(3, "stall");
         first.close();
         second.close();
         stallPermits.release();
         expectEvent("gone 1");
-        Set<String> rest = new HashSet<>(Set.of("gone 2", "ended 2 0 NOT_SENT true"));
+        Set<String> expected = new HashSet<>(Set.of("gone 2", "ended 2 0 NOT_SENT true"));
         for (int i = 0; i < 2; i++) {
-            String what = policyEvents.poll(10, TimeUnit.SECONDS);
-            assertTrue(rest.remove(what), what);
+            String event = policyEvents.poll(10, TimeUnit.SECONDS);
+            assertTrue(expected.remove(event), event);
         }
     }
 
-    /** Accepted late, read late: a command that comes with its client's end was sent on. */
+    /** A command that is read together with the end of its connection is not sent on. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void commandOfADisconnectedClientIsNotForwarded(boolean epoll) throws Exception {
         start(epoll);
         Peer.Connection busy = connectClient();
-        sendGet(busy, "01", "stall", LONG);
+        sendGet(busy, "01", "stall", NEVER_MS);
         expectRequest(1, "stall");
         Peer.Connection client = connectClient();
-        sendGet(client, "02", "hold", LONG);
+        sendGet(client, "02", "hold", NEVER_MS);
         client.close();
         stallPermits.release();
-        Peer.Connection next = connectClient();
-        for (int i = 0; i < 2; i++) { // the second is read after all that came before the first
-            next.sendCommand("PING");
-            assertEquals(List.of("+PONG"), next.readMessage());
+        Peer.Connection otherClient = connectClient();
+        for (int i = 0; i < 2; i++) { // the second is read behind everything that came before the first
+            otherClient.sendCommand("PING");
+            assertEquals(List.of("+PONG"), otherClient.readMessage());
         }
         assertNull(policyEvents.poll());
     }
--- a/src/test/java/quotagateway/node/CordonStoreTest.java
+++ b/src/test/java/quotagateway/node/CordonStoreTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Calls that take servers out, and what is kept of them. */
+/** Operators' calls that cordon endpoints, and how they are stored. */
 class CordonStoreTest extends NodeFixture {
     private Path file() {
         return stateFolder.resolve("cordons-n0");
@@ -36,7 +36,7 @@
         assertEquals("", Files.readString(file()));
     }
 
-    /** The next process has it before its first attempt, and a file cut off anywhere keeps none back. */
+    /** They are in force before the first attempt; a last line that was cut off is left out. */
     @Test
     void storedCordonsAreInForceInTheNextProcess() throws Exception {
         Files.writeString(file(), "s0\ns1\ns-to");
@@ -47,13 +47,13 @@
 
     @Test
     void unreadableCordonFileDoesNotStopAStart() throws Exception {
-        Files.createDirectory(file()); // cannot be read, nor written
+        Files.createDirectory(file()); // can neither be read nor written as a file
         start();
         assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         expectEvent("cordon s0");
     }
 
-    /** A folder that could not be written for a while lost the call for the next process. */
+    /** A write that fails for a while must not lose the call for the next process. */
     @Test
     void cordonThatCouldNotBeStoredIsStoredWhenTheFolderIsBack() throws Exception {
         Files.createDirectory(file());
@@ -61,26 +61,26 @@
         assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         expectEvent("cordon s0");
         Files.delete(file());
-        long end = System.nanoTime() + 10_000_000_000L;
-        while (!Files.exists(file()) && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + 10_000_000_000L;
+        while (!Files.exists(file()) && System.nanoTime() < deadlineNanos) {
             Thread.sleep(10);
         }
         assertEquals("s0\n", Files.readString(file()));
     }
 
-    /** While a new version comes up each process hears what the other was told. */
+    /** While a new version comes up beside the old one, a call that reaches one process holds for both. */
     @Test
     void cordonStoredByAnotherProcessIsInForceHere() throws Exception {
         start();
-        Path next = stateFolder.resolve("next");
-        Files.writeString(next, "s5\n");
-        Files.move(next, file(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+        Path replacement = stateFolder.resolve("next");
+        Files.writeString(replacement, "s5\n");
+        Files.move(replacement, file(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         expectEvent("cordons [s5]");
         assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         assertEquals(Set.of("s0", "s5"), Set.copyOf(Files.readAllLines(file())));
     }
 
-    /** Its idle connections end too: it is about to be restarted, and requests would find them dead. */
+    /** It is about to be restarted, as a rule: requests would find its idle connections dead. */
     @Test
     void cordonedEndpointKeepsNoIdleConnections() throws Exception {
         start();
--- a/src/test/java/quotagateway/node/DescriptorLimitTest.java
+++ b/src/test/java/quotagateway/node/DescriptorLimitTest.java
@@ -21,34 +21,34 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole edge node, in a process that the system holds to the descriptors it was told. */
+/** A node in a process of its own, which the system holds to a limit on descriptors. */
 @Timeout(60)
 class DescriptorLimitTest {
-    private static final int SOCKETS = 128;
-    /** To the counter. */
-    private static final int LINES = 4;
+    private static final int DESCRIPTORS = 128;
+    /** Connections to the counter. */
+    private static final int COUNTER_CONNECTIONS = 4;
 
-    private static final String CALL = "c=read,t=p,d=2000,units=1,spread=1,first=0";
+    private static final String COMMAND_LIST = "c=read,t=p,d=2000,units=1,spread=1,first=0";
 
     @TempDir
     Path folder;
 
     private final Peer discovery;
     private final Peer counter;
-    private final Peer app;
-    private final Peer other;
+    private final Peer endpoint;
+    private final Peer otherEndpoint;
     private int port;
     private Path log;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     DescriptorLimitTest() throws IOException {
         discovery = new Peer();
         counter = new Peer();
-        app = new Peer();
-        other = new Peer();
+        endpoint = new Peer();
+        otherEndpoint = new Peer();
     }
 
-    private String config(int told) {
+    private String configJson(int configuredSockets) {
         return """
             {"name":"n0","listen":"127.0.0.1:%d","discovery":"%s","seed":"8c1f30d27a5be964",
              "limits":{"sockets":%d},"counter":"%s","known":%s,
@@ -59,23 +59,23 @@
               "tariffs":[{"name":"p","per_second":80,"depth":80}]}}""".formatted(
                         port,
                         discovery.address(),
-                        told,
+                        configuredSockets,
                         counter.address(),
-                        NodeFixture.list(41, true, NodeFixture.entry("s0", app.address(), "active")));
+                        NodeFixture.list(41, true, NodeFixture.entry("s0", endpoint.address(), "active")));
     }
 
-    private static void watch(Peer.Connection line, String list) throws Exception {
-        while (!line.readLine().isEmpty()) {
-            assertTrue(line.socket.isConnected());
+    private static void answerWatch(Peer.Connection connection, String list) throws Exception {
+        while (!connection.readLine().isEmpty()) {
+            assertTrue(connection.socket.isConnected());
         }
-        line.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + Integer.toHexString(list.length() + 1)
-                + "\r\n" + list + "\n\r\n");
+        connection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+                + Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
     }
 
-    private static void daemon(Callable<?> what) {
+    private static void runInBackground(Callable<?> task) {
         Thread thread = new Thread(() -> {
             try {
-                what.call();
+                task.call();
             } catch (Exception | AssertionError closed) {
                 // the test is over, or the node closed this one
             }
@@ -84,15 +84,15 @@
         thread.start();
     }
 
-    /** Answers each request, on all connections that come. */
-    private static void serve(Peer app, CountDownLatch first) {
-        daemon(() -> {
+    /** Answers each request on all connections that come. */
+    private static void respondOnAll(Peer endpoint, CountDownLatch connected) {
+        runInBackground(() -> {
             while (true) {
-                Peer.Connection line = app.awaitConnection();
-                first.countDown();
-                daemon(() -> {
-                    while (line.readMessage() != null) {
-                        line.sendValue("served");
+                Peer.Connection connection = endpoint.awaitConnection();
+                connected.countDown();
+                runInBackground(() -> {
+                    while (connection.readMessage() != null) {
+                        connection.sendValue("served");
                     }
                     return null;
                 });
@@ -100,79 +100,79 @@
         });
     }
 
-    private Peer.Connection client() throws Exception {
-        Peer.Connection line = Peer.Connection.connect(port);
-        open.add(line);
-        return line;
+    private Peer.Connection connectClient() throws Exception {
+        Peer.Connection connection = Peer.Connection.connect(port);
+        closeables.add(connection);
+        return connection;
     }
 
-    private Process node(int told) throws Exception {
+    private Process startNode(int configuredSockets) throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
         log = folder.resolve("log");
-        open.addAll(List.of(discovery, counter, app, other));
-        Path file = Files.writeString(folder.resolve("config"), config(told));
+        closeables.addAll(List.of(discovery, counter, endpoint, otherEndpoint));
+        Path file = Files.writeString(folder.resolve("config"), configJson(configuredSockets));
         String path = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(p -> !p.matches(".*(junit|opentest4j|apiguardian|test-classes).*"))
                 .collect(Collectors.joining(File.pathSeparator)); // each is a descriptor
-        ProcessBuilder run = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                "ulimit -n " + SOCKETS + " && exec '"
+                "ulimit -n " + DESCRIPTORS + " && exec '"
                         + ProcessHandle.current().info().command().orElseThrow() + "' -cp '" + path
                         + "' quotagateway.Main serve");
-        run.environment().put("EDGE_CONFIG", file.toString());
-        run.environment()
+        builder.environment().put("EDGE_CONFIG", file.toString());
+        builder.environment()
                 .put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
         Process node =
-                run.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        open.add(node::destroyForcibly);
+                builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+        closeables.add(node::destroyForcibly);
         return node;
     }
 
-    /** All that clients may fill is filled while discovery is away and the counter breaks off. */
+    /** Clients fill what they may while discovery is away and the counter breaks off: both must be reached again. */
     @Test
     void idleClientsLeaveDescriptorsForTheNodeItself() throws Exception {
-        Process node = node(SOCKETS);
+        Process node = startNode(DESCRIPTORS);
         try {
             Peer.Connection watch = discovery.awaitConnection();
-            watch(watch, "");
-            app.awaitConnection();
-            Peer.Connection[] lines = new Peer.Connection[LINES];
-            for (int i = 0; i < LINES; i++) {
-                lines[i] = counter.awaitConnection();
+            answerWatch(watch, "");
+            endpoint.awaitConnection();
+            Peer.Connection[] connections = new Peer.Connection[COUNTER_CONNECTIONS];
+            for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
+                connections[i] = counter.awaitConnection();
             }
-            bound();
+            awaitBind();
             discovery.close();
             watch.close();
-            int down = discovery.port();
-            for (int i = 0; i < SOCKETS; i++) { // each asks once, and then holds its place
-                Peer.Connection idle = client();
+            int freedPort = discovery.port();
+            for (int i = 0; i < DESCRIPTORS; i++) { // each sends one request, and then idles
+                Peer.Connection idle = connectClient();
                 idle.sendCommand("PING");
                 assertEquals(List.of("+PONG"), idle.readMessage());
             }
-            for (int i = 0; i < SOCKETS; i++) {
-                client(); // says nothing at all
+            for (int i = 0; i < DESCRIPTORS; i++) {
+                connectClient(); // sends nothing at all
             }
-            for (int i = 0; i < LINES; i++) {
-                lines[i].close();
+            for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
+                connections[i].close();
             }
-            for (int i = 0; i < LINES; i++) {
+            for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
                 counter.awaitConnection(); // the counter is reached again
             }
-            Peer back = new Peer(down);
-            open.add(back);
-            List<String> hosts = new ArrayList<>();
-            for (int i = 1; i <= SOCKETS; i++) { // more servers than their part holds
-                hosts.add(NodeFixture.entry("s" + i, other.address(), "active"));
+            Peer newDiscovery = new Peer(freedPort);
+            closeables.add(newDiscovery);
+            List<String> entries = new ArrayList<>();
+            for (int i = 1; i <= DESCRIPTORS; i++) { // more endpoints than may have connections
+                entries.add(NodeFixture.entry("s" + i, otherEndpoint.address(), "active"));
             }
-            watch(back.awaitConnection(), NodeFixture.list(42, true, hosts.toArray(new String[0])));
-            CountDownLatch reached = new CountDownLatch(1);
-            serve(other, reached);
-            assertTrue(reached.await(10, TimeUnit.SECONDS)); // so the list is taken
-            Peer.Connection client = client();
-            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
+            answerWatch(newDiscovery.awaitConnection(), NodeFixture.list(42, true, entries.toArray(new String[0])));
+            CountDownLatch endpointReached = new CountDownLatch(1);
+            respondOnAll(otherEndpoint, endpointReached);
+            assertTrue(endpointReached.await(10, TimeUnit.SECONDS)); // so the list was read
+            Peer.Connection client = connectClient();
+            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", COMMAND_LIST);
             assertEquals(List.of("served"), client.readMessage());
             assertFalse(Files.readString(log).contains("Too many open files"), Files.readString(log));
             assertTrue(node.isAlive());
@@ -181,26 +181,26 @@
         }
     }
 
-    /** Told of more than the system gives: the first that found none left ended the loop, and so the node. */
+    /** The configuration allows more descriptors than the system: running out of them must not end the event loop. */
     @Test
     void nodeRecoversOnceDescriptorsAreFreeAgain() throws Exception {
-        Process node = node(1024);
+        Process node = startNode(1024);
         try {
-            serve(app, new CountDownLatch(1));
-            watch(discovery.awaitConnection(), "");
-            bound();
-            List<Peer.Connection> crowd = new ArrayList<>();
-            for (int i = 0; i < SOCKETS; i++) {
-                crowd.add(client());
+            respondOnAll(endpoint, new CountDownLatch(1));
+            answerWatch(discovery.awaitConnection(), "");
+            awaitBind();
+            List<Peer.Connection> idleClients = new ArrayList<>();
+            for (int i = 0; i < DESCRIPTORS; i++) {
+                idleClients.add(connectClient());
             }
             while (!Files.readString(log).contains("Too many open files")) {
                 Thread.sleep(20);
             }
-            for (Peer.Connection line : crowd) {
-                line.close();
+            for (Peer.Connection connection : idleClients) {
+                connection.close();
             }
-            Peer.Connection client = client();
-            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", CALL);
+            Peer.Connection client = connectClient();
+            client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", COMMAND_LIST);
             assertEquals(List.of("served"), client.readMessage());
             assertTrue(node.isAlive());
         } catch (IOException | AssertionError e) {
@@ -208,15 +208,15 @@
         }
     }
 
-    private void bound() throws Exception {
+    private void awaitBind() throws Exception {
         while (!Files.readString(log).contains("bind")) {
             Thread.sleep(20);
         }
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable each : open) {
+    void closeAll() throws Exception {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
     }
--- a/src/test/java/quotagateway/node/DiscoveryWatchTest.java
+++ b/src/test/java/quotagateway/node/DiscoveryWatchTest.java
@@ -8,44 +8,45 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A watch that breaks off or stalls: what it had to tell may be a drain, and that has 250 ms. */
+/** Watches that break off or stall: the change that they did not bring may be a drain, whose grace is 250 ms. */
 class DiscoveryWatchTest extends NodeFixture {
-    /** Half a line, and no end of the connection either: 5 s passed before it was taken for dead. */
+    /** Half a line and no end of the connection: it counts as dead soon, not only when the whole watch is silent. */
     @Test
     void watchWithHalfALineThatStallsIsRenewed() throws Exception {
         start();
-        String line = list(42, false, entry("s0", endpointPeer.address(), "leaving"));
-        watchConnection.write(Integer.toHexString(line.length() + 1) + "\r\n" + line.substring(0, line.length() / 2));
+        String connection = list(42, false, entry("s0", endpointPeer.address(), "leaving"));
+        watchConnection.write(Integer.toHexString(connection.length() + 1) + "\r\n"
+                + connection.substring(0, connection.length() / 2));
         Peer.Connection next = discoveryPeer.pollConnection(1500);
         assertNotNull(next, "a new watch long before silence is told from its death");
         assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", next.readLine());
         assertTrue(watchConnection.awaitEnd());
     }
 
-    /** Ten nodes killed together came up one by one, as an overbooked discovery had told each its list. */
+    /** Nodes that restart together must not wait for one another's turn at an overloaded discovery. */
     @Test
     void nodeWithACachedListListensBeforeDiscoveryAnswers() throws Exception {
         node = newNode(configJson());
-        long begun = System.nanoTime();
-        node.start(); // nobody answers at discovery's address
-        long took = (System.nanoTime() - begun) / 1_000_000;
-        assertTrue(took < 3500, "took " + took + " ms; 4 s is the most that is waited for parts not ready");
+        long startedNanos = System.nanoTime();
+        node.start(); // discovery does not answer
+        long tookMs = (System.nanoTime() - startedNanos) / 1_000_000;
+        assertTrue(tookMs < 3500, "took " + tookMs + " ms; 4 s is the most that is waited for parts not ready");
         endpointConnection = endpointPeer.awaitConnection();
         expectEvent("whole s0 UP");
         try (Peer.Connection client = connectClient()) {
             sendGet(client, "01", "read", 900);
-            String what = policyEvents.poll(10, TimeUnit.SECONDS);
-            while ("discovery failed".equals(what)) { // it is asked again and again meanwhile
-                what = policyEvents.poll(10, TimeUnit.SECONDS);
+            String event = policyEvents.poll(10, TimeUnit.SECONDS);
+            while ("discovery failed".equals(event)) { // it is called again and again meanwhile
+                event = policyEvents.poll(10, TimeUnit.SECONDS);
             }
-            assertEquals("arrived 1 read p " + CUSTOMER + " 2 3 1 false", what);
+            assertEquals("arrived 1 read p " + CUSTOMER + " 2 3 1 false", event);
             endpointConnection.readMessage();
             endpointConnection.sendValue("v");
             assertEquals(List.of("v"), client.readMessage());
         }
     }
 
-    /** What the agent has counts as told from the first moment: one quiet call at the start is waited out. */
+    /** From its first moment a node has to know what discovery has: it waits for one silent call and repeats it. */
     @Test
     void nodeWhoseFirstCallIsSilentAsksAgainBeforeItListens() throws Exception {
         node = newNode(configJson());
@@ -70,26 +71,26 @@
         assertNotNull(node.listenAddress());
     }
 
-    /** After a watch that worked the next comes at once, not after the wait for one that cannot be had. */
+    /** Behind a watch that worked the next one follows at once, without backoff. */
     @Test
     void watchThatBreaksOffIsRenewedAtOnce() throws Exception {
         start();
         long least = Long.MAX_VALUE;
-        for (int i = 0; i < 3; i++) { // the least of three: a busy machine only adds
+        for (int i = 0; i < 3; i++) { // the shortest of three: a busy machine only adds
             long ended = System.nanoTime();
             watchConnection.close();
             answerWatch();
             least = Math.min(least, (System.nanoTime() - ended) / 1_000_000);
             expectEvent("discovery failed");
             pushToWatch(list(42 + i, false, entry("s0", endpointPeer.address(), "active")));
-            expectEvent("changes s0 UP"); // it works: the next end is the first again
+            expectEvent("changes s0 UP"); // it worked: the backoff starts from the beginning
             pushToWatch(list(41, false));
             expectEvent("changes");
         }
         assertTrue(least < 190, "took " + least + " ms; 200 and more before");
     }
 
-    /** What the agent has counts as told: a node that stayed away for up to 2 s heard of a drain too late. */
+    /** The backoff stays short: a node that stays away for 2 s learns of a drain too late. */
     @Test
     void discoveryThatEndsEachWatchIsAskedAgainSoon() throws Exception {
         start();
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Taken line by line an indented list was none: each watch broke on its first line, and told nothing. */
+    /** A list need not be one line: an indented one is read to its end. */
     @Test
     void indentedListIsOneList() throws Exception {
         start();
@@ -115,7 +116,7 @@
         assertEquals("GET /catalog/members?follow=1&since=42 HTTP/1.1", watchConnection.readLine());
     }
 
-    /** Asked for again and again with a version that discovery has forgotten, it was refused for ever. */
+    /** Discovery refuses a version that it has forgotten: asking for changes since then again would never end. */
     @Test
     void refusedVersionIsFollowedByACallForTheCompleteList() throws Exception {
         start();
@@ -129,7 +130,7 @@
         assertEquals("GET /catalog/members HTTP/1.1", watchConnection.readLine());
     }
 
-    /** A call for the list that is accepted and never answered was waited for 5 s; told it counts after 4. */
+    /** A call that is accepted and never answered is repeated before the change counts as known. */
     @Test
     void unansweredCallForTheListIsRepeated() throws Exception {
         start();
@@ -143,7 +144,7 @@
         watchConnection = discoveryPeer.pollConnection(3000);
         assertNotNull(watchConnection, "asked anew before what it had to tell counts as told");
         assertEquals("GET /catalog/members HTTP/1.1", watchConnection.readLine());
-        silent.input.readAllBytes(); // returns at its end
+        silent.input.readAllBytes(); // returns when the node closes it
         String list = list(43, true, entry("s0", endpointPeer.address(), "leaving"));
         watchConnection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
         expectEvent("discovery failed");
--- a/src/test/java/quotagateway/node/EndpointConnectionsTest.java
+++ b/src/test/java/quotagateway/node/EndpointConnectionsTest.java
@@ -9,10 +9,10 @@
 import quotagateway.policy.api.EndpointState;
 import quotagateway.transport.PackedAddress;
 
-/** Connections stand to the servers that the module uses, and to no others. */
+/** There are connections to the endpoints that the policy retains, and to no others. */
 class EndpointConnectionsTest extends NodeFixture {
-    private static EndpointDescriptor endpointConnection(String id, Peer at, EndpointState state) {
-        return new EndpointDescriptor(id, 3, "a", state, "m", 0, 1, PackedAddress.pack(at.address()));
+    private static EndpointDescriptor endpointConnection(String id, Peer peer, EndpointState state) {
+        return new EndpointDescriptor(id, 3, "a", state, "m", 0, 1, PackedAddress.pack(peer.address()));
     }
 
     @Test
@@ -45,15 +45,16 @@
     @Test
     void endpointThatIsListedAndNotRetainedHasNoConnection() throws Exception {
         start();
-        try (Peer other = new Peer();
-                Peer used = new Peer()) {
+        try (Peer otherPeer = new Peer();
+                Peer retainedPeer = new Peer()) {
             node.eventLoop().execute(() -> {
                 node.discoveryListener()
-                        .onEndpoints(List.of(endpointConnection("s1", other, EndpointState.DRAINING)), false);
-                node.discoveryListener().onEndpoints(List.of(endpointConnection("s2", used, EndpointState.UP)), false);
+                        .onEndpoints(List.of(endpointConnection("s1", otherPeer, EndpointState.DRAINING)), false);
+                node.discoveryListener()
+                        .onEndpoints(List.of(endpointConnection("s2", retainedPeer, EndpointState.UP)), false);
             });
-            used.awaitConnection();
-            assertEquals(null, other.pollConnection(0));
+            retainedPeer.awaitConnection();
+            assertEquals(null, otherPeer.pollConnection(0));
             expectEvent("changes s1 DRAINING");
         }
     }
@@ -61,13 +62,14 @@
     @Test
     void listInPartsClosesConnectionsAtItsEndAndNotBefore() throws Exception {
         start();
-        try (Peer other = new Peer()) {
+        try (Peer otherPeer = new Peer()) {
             node.eventLoop().execute(() -> {
                 node.discoveryListener().onEndpointListStarted();
-                node.discoveryListener().onEndpoints(List.of(endpointConnection("s1", other, EndpointState.UP)), false);
+                node.discoveryListener()
+                        .onEndpoints(List.of(endpointConnection("s1", otherPeer, EndpointState.UP)), false);
             });
             expectEvent("changes s1 UP");
-            other.awaitConnection();
+            otherPeer.awaitConnection();
             Peer.Connection client = connectClient();
             sendGet(client, "01", "read", 900);
             expectRequest(1, "read");
@@ -75,16 +77,17 @@
             endpointConnection.sendValue("one");
             assertEquals(List.of("one"), client.readMessage());
             node.eventLoop().execute(() -> {
-                node.discoveryListener().onEndpointListStarted(); // the one before never ended
+                node.discoveryListener().onEndpointListStarted(); // the list begun before never ends
                 node.discoveryListener()
                         .onEndpoints(List.of(endpointConnection("s0", endpointPeer, EndpointState.UP)), false);
                 node.discoveryListener().onEndpointListCompleted();
                 node.discoveryListener().onEndpointListStarted();
-                node.discoveryListener().onEndpoints(List.of(endpointConnection("s1", other, EndpointState.UP)), false);
+                node.discoveryListener()
+                        .onEndpoints(List.of(endpointConnection("s1", otherPeer, EndpointState.UP)), false);
                 node.discoveryListener().onEndpointListCompleted();
             });
             assertTrue(endpointConnection.awaitEnd());
-            other.awaitConnection();
+            otherPeer.awaitConnection();
         }
     }
 
--- a/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
+++ b/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
@@ -17,10 +17,10 @@
 import java.util.List;
 
 /**
- * Measures one edge node, with the deploy file's flags, that is told a list of so many servers: known from
- * before, if asked for, then whole by discovery, three times. Not a test: from the root, {@code ListMemory
- * [SERVERS] [known]}. A line of CSV a step: wall and CPU (ms) since the one before, resident memory and its
- * peak (MB).
+ * Measures one node, with the deploy file's flags, that gets a list of so many endpoints: a cached one, where that is
+ * asked for, then a complete one from discovery, three times. Not a test; from the root: {@code
+ * EndpointListMemoryBenchmark [ENDPOINTS] [known]}. A line of CSV for each step: wall and CPU time (ms) since the one
+ * before, resident memory and its peak (MB).
  */
 final class EndpointListMemoryBenchmark {
     private static final int TICK = 10;
@@ -36,13 +36,15 @@
                 ServerSocket counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
             try (PrintStream out = new PrintStream(new BufferedOutputStream(Files.newOutputStream(config)))) {
+                int discoveryPort = agent.getLocalPort();
+                int counterPort = counter.getLocalPort();
                 out.printf("""
                     {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","counter":"127.0.0.1:%d",
                      "limits":{"memory_mb":192,"sockets":1024},
                      "settings":{"rank":0,"group_size":8200,"tick":4,"my_zone":"z0",
                       "family_info":{"shared_counter":true},"request_classes":[{"name":"r",
                        "effect":"read_like","aim":600,"hard_limit":2000}],
-                      "tariffs":[{"name":"p","per_second":8,"depth":8}]},"known":""", agent.getLocalPort(), counter.getLocalPort());
+                      "tariffs":[{"name":"p","per_second":8,"depth":8}]},"known":""", discoveryPort, counterPort);
                 if (args.length > 1) {
                     list(out, servers, 1);
                 } else {
@@ -90,7 +92,7 @@
         return builder.start();
     }
 
-    /** A call behind each list shows that the one before has been taken. */
+    /** The call that follows a list shows that the list has been read. */
     private static void answer(ServerSocket agent, Process node, int servers) throws IOException {
         int seq = 2;
         for (int round = 0; round < 3; round++) {
@@ -101,7 +103,8 @@
                 step(node, servers, round == 0 ? "asks" : "asks again");
                 OutputStream raw = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
                 PrintStream out = new PrintStream(raw);
-                out.print("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"); // its end is that of the list
+                out.print("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"); // the end of the connection is that of the
+                // list
                 list(out, servers, seq++);
                 step(node, servers, "list written");
             }
--- a/src/test/java/quotagateway/node/GatewayNodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -28,7 +28,7 @@
 import quotagateway.streaming.RequestBody;
 import quotagateway.transport.Transport;
 
-/** Calls through the edge node: order, outcomes, lists, counter, its end. */
+/** Requests through a node: their order and outcomes, endpoint lists, the counter, and the shutdown. */
 class GatewayNodeTest extends NodeFixture {
     @Test
     void requestIsForwardedUnchangedButForTheTimeLeft() throws Exception {
@@ -50,7 +50,7 @@
         expectEvent("ended 1 0 OK true");
     }
 
-    /** Answers keep the order of the commands, whichever app server is quicker. */
+    /** Responses keep the order of the commands, whichever endpoint is quicker. */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         start();
@@ -59,7 +59,7 @@
         assertEquals("01", endpointConnection.readMessage().get(2));
         sendGet(client, "02", "refuse", 900);
         sendGet(client, "03", "read", 900);
-        Peer.Connection second = endpointPeer.awaitConnection(); // one request a connection at a time
+        Peer.Connection second = endpointPeer.awaitConnection(); // a connection carries one request at a time
         assertEquals("03", second.readMessage().get(2));
         second.sendValue("three");
         endpointConnection.sendValue("one");
@@ -83,30 +83,30 @@
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** An app server that drops idle connections without a word: each next request was reset. */
+    /** An endpoint may close idle connections early: requests must not go out on one that it is about to close. */
     @Test
     void deadConnectionsAreNotUsedAgain() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        Peer.Connection line = endpointConnection;
+        Peer.Connection connection = endpointConnection;
         int again = 0;
         sendGet(client, "first", "read", 900);
-        line.readMessage();
-        line.sendValue("one");
+        connection.readMessage();
+        connection.sendValue("one");
         assertEquals(List.of("one"), client.readMessage());
         for (boolean reused = true; reused; again++) {
             sendGet(client, again + "a", "read", 900);
             try {
-                line.readMessage();
-                line.close();
+                connection.readMessage();
+                connection.close();
                 assertEquals(List.of("-ERR failed"), client.readMessage());
                 sendGet(client, again + "b", "read", 900);
             } catch (EOFException | java.net.SocketException closed) {
                 reused = false;
             }
-            line = endpointPeer.awaitConnection();
-            line.readMessage();
-            line.sendValue("two");
+            connection = endpointPeer.awaitConnection();
+            connection.readMessage();
+            connection.sendValue("two");
             assertEquals(List.of("two"), client.readMessage());
             assertTrue(again < 60, "reused for ever");
         }
@@ -126,7 +126,7 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** The protocol's table of outcomes; a break after the last byte may have run, one before has not. */
+    /** A connection that ends behind the last byte of a request may have executed it, one that ends before has not. */
     @Test
     void eachEndOfAnAttemptHasItsOutcome() throws Exception {
         start();
@@ -152,7 +152,7 @@
         expectEvent("ended 4 0 NO_CONNECTION false");
     }
 
-    /** A late answer to an attempt that was given up must not be taken for the next one's. */
+    /** A late response to an abandoned attempt must not be taken for that of the next one. */
     @Test
     void abandonedAttemptClosesItsConnection() throws Exception {
         start();
@@ -171,7 +171,7 @@
         assertTrue(second.awaitEnd());
     }
 
-    /** The last word is the node's where the module has none: each request gets one answer in time. */
+    /** Where the policy does not decide the node does: each request gets one response in time. */
     @Test
     void requestThatThePolicyHoldsOrFailsOnIsAnswered() throws Exception {
         start();
@@ -180,7 +180,7 @@
         expectRequest(1, "hold");
         assertEquals(List.of("-ERR failed"), client.readMessage());
         expectEvent("gone 1");
-        sendGet(client, "02", "throw", 900); // an exception fails one request and nothing else
+        sendGet(client, "02", "throw", 900); // an exception in the policy fails one request and nothing else
         expectRequest(2, "throw");
         assertEquals(List.of("-ERR failed"), client.readMessage());
         expectEvent("gone 2");
@@ -188,7 +188,7 @@
         assertEquals(List.of("-ERR failed"), client.readMessage());
     }
 
-    /** The module arms one timer for all it waits for: an exception there must not be the end of its time. */
+    /** The policy has one timer for everything that it waits for: an exception must not lose it. */
     @Test
     void timerThatFailsComesAgain() throws Exception {
         timersToFail.set(1);
@@ -228,25 +228,25 @@
         expectEvent("probed s0 OK [0.61, 7.0]");
     }
 
-    /** Counter calls end in time as 'may have been added', and a late answer must not shift onto the next. */
+    /** A counter call that times out may have been executed; its late reply must not be taken for that of the next. */
     @Test
     void lateCounterRepliesStayWithTheirCalls() throws Exception {
         start();
-        Peer.Connection[] lines = new Peer.Connection[4];
+        Peer.Connection[] connections = new Peer.Connection[4];
         BlockingQueue<Peer.Connection> called = new LinkedBlockingQueue<>();
-        for (int i = 0; i < lines.length; i++) {
-            Peer.Connection line = counterPeer.awaitConnection();
+        for (int i = 0; i < connections.length; i++) {
+            Peer.Connection connection = counterPeer.awaitConnection();
             Thread reading = new Thread(() -> {
                 try {
-                    List<String> words = line.readMessage();
+                    List<String> words = connection.readMessage();
                     while (words.get(0).equals("PING")) {
-                        line.write("+PONG\r\n");
-                        words = line.readMessage();
+                        connection.write("+PONG\r\n");
+                        words = connection.readMessage();
                     }
                     assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), words);
-                    called.add(line);
+                    called.add(connection);
                 } catch (IOException closed) {
-                    // one of those that no call came on
+                    // not the connection that the call came on
                 }
             });
             reading.setDaemon(true);
@@ -257,20 +257,20 @@
         expectRequest(1, "count");
         expectEvent("counted 77 TIMEOUT 0.0");
         expectEvent("counted 77 TIMEOUT 0.0");
-        Peer.Connection line = called.poll(10, TimeUnit.SECONDS);
-        assertNotNull(line);
-        assertEquals(List.of("CNT.ADD", "77", "1", "4000"), line.readMessage());
+        Peer.Connection connection = called.poll(10, TimeUnit.SECONDS);
+        assertNotNull(connection);
+        assertEquals(List.of("CNT.ADD", "77", "1", "4000"), connection.readMessage());
         sendGet(client, "02", "count", 900);
         expectRequest(2, "count");
-        line.readMessage();
-        line.readMessage();
-        line.write("$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late ones, then those in time
+        connection.readMessage();
+        connection.readMessage();
+        connection.write("$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late replies, then those in time
         expectEvent("counted 77 OK 1.5");
         expectEvent("counted 77 FULL 0.0");
         sendGet(client, "03", "count", 900);
         expectRequest(3, "count");
-        line.readMessage();
-        line.close(); // after it was written: it may have been added
+        connection.readMessage();
+        connection.close(); // behind the call: it may have been executed
         expectEvent("counted 77 RESET 0.0");
         expectEvent("counted 77 RESET 0.0");
     }
@@ -280,16 +280,16 @@
         start();
         pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
         expectEvent("changes s0 DRAINING");
-        assertTrue(endpointConnection.awaitEnd()); // idle connections go with it
+        assertTrue(endpointConnection.awaitEnd()); // idle connections are closed too
         try (Peer moved = new Peer()) {
             pushToWatch(list(43, false, entry("s0", moved.address(), "active")));
             expectEvent("changes s0 UP");
             Peer.Connection client = connectClient();
             sendGet(client, "01", "read", 900);
             expectRequest(1, "read");
-            Peer.Connection line = moved.awaitConnection();
-            assertEquals("01", line.readMessage().get(2));
-            line.sendValue("v");
+            Peer.Connection connection = moved.awaitConnection();
+            assertEquals("01", connection.readMessage().get(2));
+            connection.sendValue("v");
             expectEvent("ended 1 0 OK true");
             pushToWatch(list(44, false, entry("s0", moved.address(), "left")));
             expectEvent("changes s0 REMOVED");
@@ -301,7 +301,7 @@
         }
     }
 
-    /** A watch to a machine that vanished is silent for ever: it is dead once its 2 s lines stop. */
+    /** A watch sends a line every 2 s: one whose lines stop is dead, as where the other machine has vanished. */
     @Test
     void silentWatchIsRenewedFromItsVersion() throws Exception {
         start();
@@ -310,7 +310,7 @@
         assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", next.readLine());
     }
 
-    /** At SIGTERM connections still come for a while; what is taken is answered, and then it ends. */
+    /** Behind SIGTERM clients still connect for a while; all requests are answered, and then the node ends. */
     @Test
     void nodeAnswersOpenRequestsBeforeItEnds() throws Exception {
         start();
@@ -366,8 +366,8 @@
     }
 
     /**
-     * A client may come before bind has returned to its caller: the first was then dropped, as the listener
-     * was not known yet. Here bind never returns, as its caller is interrupted.
+     * A client may connect before bind has returned to its caller, and must be served. Here bind never returns, as its
+     * caller is interrupted.
      */
     @Test
     void clientThatComesBeforeBindReturnsIsServed() throws Exception {
@@ -382,33 +382,33 @@
             assertThrows(
                     InterruptedException.class,
                     () -> new ClientListener(node.eventLoop(), new PingOnly(), 8).bind(group, address));
-            group.submit(() -> {}).sync(); // the bind that was left to the loop is done
+            group.submit(() -> {}).sync(); // behind the bind, which is left to the event loop
             group.submit(() -> {}).sync();
-            try (Peer.Connection line = Peer.Connection.connect(address.getPort())) {
-                line.sendCommand("PING");
-                assertEquals(List.of("+PONG"), line.readMessage());
+            try (Peer.Connection connection = Peer.Connection.connect(address.getPort())) {
+                connection.sendCommand("PING");
+                assertEquals(List.of("+PONG"), connection.readMessage());
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    /** What a slow reader has still to get is not cut off when the node ends its connection. */
+    /** A response that a slow client has not read yet is not cut off when the node closes its side. */
     @Test
     void longResponseIsWholeForASlowReaderInAShutdown() throws Exception {
         maxSockets = 1024;
         start();
         Peer.Connection client = connectClient();
         String value = "v".repeat(64 * 1024);
-        int calls = 140; // more than the sockets' buffers hold
-        List<Peer.Connection> lines = new ArrayList<>();
+        int calls = 140; // more than fits into the sockets' buffers
+        List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
             sendGet(client, "0" + i, "read", 20_000);
-            lines.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
-            lines.get(i).readMessage();
+            connections.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
+            connections.get(i).readMessage();
         }
-        for (Peer.Connection line : lines) {
-            line.sendValue(value);
+        for (Peer.Connection connection : connections) {
+            connection.sendValue(value);
         }
         drained = true;
         Thread draining = new Thread(node::drain);
--- a/src/test/java/quotagateway/node/LargeRequestTest.java
+++ b/src/test/java/quotagateway/node/LargeRequestTest.java
@@ -5,55 +5,57 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Requests with values above 64 KiB, which go on to an app server as they come. */
+/** Requests with values above 64 KiB, which are passed on to an endpoint as they come. */
 class LargeRequestTest extends NodeFixture {
-    private static final int LARGE = 4 << 20;
-    private static final int FIRST = 100_000;
-    private static final byte[] VALUE = new byte[LARGE];
+    private static final int LARGE_BYTES = 4 << 20;
+    private static final int FIRST_BYTES = 100_000;
+    private static final byte[] VALUE = new byte[LARGE_BYTES];
 
     static {
         new Random(1).nextBytes(VALUE);
     }
 
-    private static void head(Peer.Connection client, String id, String list, int length) throws Exception {
+    private static void sendCommandUpToValue(Peer.Connection client, String id, String list, int length)
+            throws Exception {
         client.write("*5\r\n$9\r\nCALL.POST\r\n$16\r\n" + CUSTOMER + "\r\n$" + id.length() + "\r\n" + id + "\r\n$"
                 + list.length() + "\r\n" + list + "\r\n$" + length + "\r\n");
     }
 
-    private static void value(Peer.Connection client, int from, int to) throws Exception {
+    private static void sendValueBytes(Peer.Connection client, int from, int to) throws Exception {
         client.socket.getOutputStream().write(VALUE, from, to - from);
     }
 
-    private static String list(String type) {
-        return "c=" + type + ",t=p,d=5000,k=5c0f,units=2,spread=3,first=1";
+    private static String commandList(String requestClass) {
+        return "c=" + requestClass + ",t=p,d=5000,k=5c0f,units=2,spread=3,first=1";
     }
 
-    /** Sends the first bytes; the app server has them while the rest is still to come. */
-    private void begin(Peer.Connection client) throws Exception {
-        head(client, "01", list("write"), LARGE);
-        value(client, 0, FIRST);
+    /** Sends the first bytes of a value, and reads them at the endpoint while the rest is still to come. */
+    private void beginLargeRequest(Peer.Connection client) throws Exception {
+        sendCommandUpToValue(client, "01", commandList("write"), LARGE_BYTES);
+        sendValueBytes(client, 0, FIRST_BYTES);
         expectRequest(1, "write");
         assertEquals("*5", endpointConnection.readLine());
         for (int i = 0; i < 4; i++) {
             endpointConnection.readMessage();
         }
-        assertEquals("$" + LARGE, endpointConnection.readLine());
-        assertArrayEquals(java.util.Arrays.copyOf(VALUE, FIRST), endpointConnection.input.readNBytes(FIRST));
+        assertEquals("$" + LARGE_BYTES, endpointConnection.readLine());
+        assertArrayEquals(Arrays.copyOf(VALUE, FIRST_BYTES), endpointConnection.input.readNBytes(FIRST_BYTES));
     }
 
     @Test
     void largeValueReachesTheEndpointWhileItStillComes() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        begin(client);
+        beginLargeRequest(client);
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("relayed_total 0\n"));
         Thread rest = new Thread(() -> {
             try {
-                value(client, FIRST, LARGE);
+                sendValueBytes(client, FIRST_BYTES, LARGE_BYTES);
                 client.write("\r\n");
             } catch (Exception e) {
                 policyEvents.add("client: " + e);
@@ -61,31 +63,32 @@
         });
         rest.start();
         assertArrayEquals(
-                java.util.Arrays.copyOfRange(VALUE, FIRST, LARGE), endpointConnection.input.readNBytes(LARGE - FIRST));
+                Arrays.copyOfRange(VALUE, FIRST_BYTES, LARGE_BYTES),
+                endpointConnection.input.readNBytes(LARGE_BYTES - FIRST_BYTES));
         assertEquals("", endpointConnection.readLine());
         rest.join();
         endpointConnection.sendValue("done");
         assertEquals(List.of("done"), client.readMessage());
         expectEvent("ended 1 0 OK true");
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("relayed_total 1\n"));
-        sendGet(client, "02", "read", 900); // both connections are as good as before
+        sendGet(client, "02", "read", 900); // both connections are used again
         assertEquals("02", endpointConnection.readMessage().get(2));
         endpointConnection.sendValue("small");
         assertEquals(List.of("small"), client.readMessage());
     }
 
-    /** What has gone out with the first attempt is not there for a second one; and nothing has run. */
+    /** What went out with the first attempt is not kept for a second one; an incomplete command was not executed. */
     @Test
     void partlySentValueIsNotSentAgain() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        begin(client);
+        beginLargeRequest(client);
         endpointConnection.close();
         expectEvent("ended 1 0 NO_CONNECTION false");
         assertEquals(List.of("-ERR failed"), client.readMessage());
-        value(client, FIRST, LARGE);
+        sendValueBytes(client, FIRST_BYTES, LARGE_BYTES);
         client.write("\r\n");
-        sendGet(client, "02", "refuse", 900); // the next command is found behind the rest
+        sendGet(client, "02", "refuse", 900); // the next command is read behind the rest
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
         assertNull(endpointPeer.pollConnection(100));
     }
@@ -94,29 +97,29 @@
     void disconnectedClientLeavesAnIncompleteCommandThatNeverRuns() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        begin(client);
+        beginLargeRequest(client);
         client.close();
         expectEvent("gone 1");
         expectEvent("ended 1 0 CANCELLED true");
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** Held for quotas or servers: no more than the first part is read meanwhile. */
+    /** While a request waits for quota or an endpoint no more than the first part of its value is read. */
     @Test
     void valueThatNoEndpointTakesIsNotReadOn() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        head(client, "01", list("hold").replace("5000", "700"), LARGE);
+        sendCommandUpToValue(client, "01", commandList("hold").replace("5000", "700"), LARGE_BYTES);
         Thread all = new Thread(() -> {
             try {
-                value(client, 0, LARGE);
+                sendValueBytes(client, 0, LARGE_BYTES);
                 client.write("\r\n");
             } catch (Exception e) {
                 policyEvents.add("client: " + e);
             }
         });
         all.start();
-        expectRequest(1, "hold"); // never sent on: it fails at its deadline, and the rest is dropped
+        expectRequest(1, "hold"); // fails at its deadline, and the rest is read and dropped
         assertEquals(List.of("-ERR failed"), client.readMessage());
         all.join();
         sendGet(client, "02", "refuse", 900);
@@ -127,10 +130,10 @@
     void valueThatStopsComingIsEnded() throws Exception {
         start();
         Peer.Connection before = connectClient();
-        head(before, "02", list("write"), LARGE);
-        value(before, 0, 1000); // no server looked for yet
+        sendCommandUpToValue(before, "02", commandList("write"), LARGE_BYTES);
+        sendValueBytes(before, 0, 1000); // too little yet for the request to be accepted
         Peer.Connection client = connectClient();
-        begin(client);
+        beginLargeRequest(client);
         assertEquals(List.of("-ERR failed"), client.readMessage());
         assertTrue(client.readMessage().get(0).startsWith("-ERR no whole command"));
         assertTrue(client.awaitEnd());
@@ -139,17 +142,17 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** The value of a command that is refused at its head is read and dropped. */
+    /** The value of a command that is refused before it has come is read and dropped. */
     @Test
     void malformedCommandsWithLargeValuesAreRefused() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        head(client, "01", "c=write,t=p", FIRST);
-        value(client, 0, FIRST);
+        sendCommandUpToValue(client, "01", "c=write,t=p", FIRST_BYTES);
+        sendValueBytes(client, 0, FIRST_BYTES);
         client.write("\r\n");
         assertTrue(client.readMessage().get(0).startsWith("-ERR c, t and d"));
-        client.write("*5\r\n$4\r\nPING\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$" + FIRST + "\r\n");
-        value(client, 0, FIRST);
+        client.write("*5\r\n$4\r\nPING\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$" + FIRST_BYTES + "\r\n");
+        sendValueBytes(client, 0, FIRST_BYTES);
         client.write("\r\n");
         assertEquals(List.of("+PONG"), client.readMessage());
         sendGet(client, "02", "refuse", 900);
--- a/src/test/java/quotagateway/node/LargeResponseTest.java
+++ b/src/test/java/quotagateway/node/LargeResponseTest.java
@@ -12,55 +12,56 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Values above 64 KiB, which are passed on as they come, and answers that come slowly. */
+/** Values above 64 KiB, which are passed on to the client as they come, and responses that come slowly. */
 class LargeResponseTest extends NodeFixture {
-    private static final int LARGE = 4 << 20;
-    private static final int FIRST = 100_000;
+    private static final int LARGE_BYTES = 4 << 20;
+    private static final int FIRST_BYTES = 100_000;
 
-    private static byte[] bytes(int length) {
+    private static byte[] randomBytes(int length) {
         byte[] value = new byte[length];
         new Random(length).nextBytes(value);
         return value;
     }
 
-    private static void write(Peer.Connection line, byte[] value, int from, int to) throws Exception {
-        line.socket.getOutputStream().write(value, from, to - from);
+    private static void writeBytes(Peer.Connection connection, byte[] value, int from, int to) throws Exception {
+        connection.socket.getOutputStream().write(value, from, to - from);
     }
 
-    /** Asks, and lets the server give the first bytes of a large value. */
-    private void begin(Peer.Connection client, int id, Peer.Connection line, byte[] value) throws Exception {
+    /** Sends a request, and the first bytes of a large value in response. */
+    private void beginLargeResponse(Peer.Connection client, int id, Peer.Connection connection, byte[] value)
+            throws Exception {
         sendGet(client, "0" + id, "read", 900);
         expectRequest(id, "read");
-        line.readMessage();
-        line.write("*3\r\n$" + value.length + "\r\n");
-        write(line, value, 0, FIRST);
+        connection.readMessage();
+        connection.write("*3\r\n$" + value.length + "\r\n");
+        writeBytes(connection, value, 0, FIRST_BYTES);
     }
 
     @Test
     void largeValueReachesTheClientWhileItStillComes() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        byte[] value = bytes(LARGE);
-        begin(client, 1, endpointConnection, value);
-        expectEvent("ended 1 0 OK true"); // by its first bytes: reading it may take far longer than the wait
-        assertEquals("$" + LARGE, client.readLine());
-        byte[] got = new byte[LARGE];
-        client.input.readNBytes(got, 0, FIRST);
+        byte[] value = randomBytes(LARGE_BYTES);
+        beginLargeResponse(client, 1, endpointConnection, value);
+        expectEvent("ended 1 0 OK true"); // at its first bytes: reading it may take longer than the client's timeout
+        assertEquals("$" + LARGE_BYTES, client.readLine());
+        byte[] got = new byte[LARGE_BYTES];
+        client.input.readNBytes(got, 0, FIRST_BYTES);
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("open_requests 1\n"));
         Thread rest = new Thread(() -> {
             try {
-                write(endpointConnection, value, FIRST, LARGE);
+                writeBytes(endpointConnection, value, FIRST_BYTES, LARGE_BYTES);
                 endpointConnection.write("\r\n$-1\r\n$9\r\nutil=0.61\r\n");
             } catch (Exception e) {
                 policyEvents.add("server: " + e);
             }
         });
         rest.start();
-        client.input.readNBytes(got, FIRST, LARGE - FIRST);
+        client.input.readNBytes(got, FIRST_BYTES, LARGE_BYTES - FIRST_BYTES);
         rest.join();
         assertArrayEquals(value, got);
         assertEquals("", client.readLine());
-        sendGet(client, "02", "read", 900); // both connections are as good as before
+        sendGet(client, "02", "read", 900); // both connections are used again
         assertEquals("02", endpointConnection.readMessage().get(2));
         endpointConnection.sendValue("small");
         assertEquals(List.of("small"), client.readMessage());
@@ -68,22 +69,22 @@
                 callAdmin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"fulfilled\"} 2\n"));
     }
 
-    /** What has begun cannot be taken back: an end is all that tells the client it is not whole. */
+    /** What has begun cannot be taken back: only a close tells the client that it is incomplete. */
     @Test
     void valueThatBreaksOffClosesTheClientsConnection() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        byte[] value = bytes(LARGE);
-        begin(client, 1, endpointConnection, value);
-        assertEquals("$" + LARGE, client.readLine());
+        byte[] value = randomBytes(LARGE_BYTES);
+        beginLargeResponse(client, 1, endpointConnection, value);
+        assertEquals("$" + LARGE_BYTES, client.readLine());
         endpointConnection.close();
-        client.input.readNBytes(FIRST);
+        client.input.readNBytes(FIRST_BYTES);
         assertTrue(client.awaitEnd());
         assertTrue(
                 callAdmin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"faulted\"} 1\n"));
     }
 
-    /** Before its turn nothing of it has gone out: the call fails, and the connection goes on. */
+    /** While earlier responses are outstanding nothing of it has gone out: the request fails, the connection stays. */
     @Test
     void valueThatBreaksOffBeforeItsTurnFailsItsRequest() throws Exception {
         start();
@@ -91,16 +92,16 @@
         sendGet(client, "01", "read", 5000);
         expectRequest(1, "read");
         endpointConnection.readMessage();
-        Peer.Connection line;
-        byte[] value = bytes(LARGE);
+        Peer.Connection connection;
+        byte[] value = randomBytes(LARGE_BYTES);
         sendGet(client, "02", "read", 5000);
         expectRequest(2, "read");
-        line = endpointPeer.awaitConnection();
-        line.readMessage();
-        line.write("*3\r\n$" + value.length + "\r\n");
-        write(line, value, 0, 1000);
+        connection = endpointPeer.awaitConnection();
+        connection.readMessage();
+        connection.write("*3\r\n$" + value.length + "\r\n");
+        writeBytes(connection, value, 0, 1000);
         expectEvent("ended 2 0 OK true");
-        line.close();
+        connection.close();
         while (!callAdmin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"faulted\"} 1\n")) {
             Thread.onSpinWait();
         }
@@ -111,47 +112,47 @@
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** A client that leaves in the middle frees the server's connection, which is of no more use. */
+    /** The endpoint's connection is closed too: the rest of the value would still come on it. */
     @Test
     void disconnectedClientEndsTheStream() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        begin(client, 1, endpointConnection, bytes(LARGE));
-        assertEquals("$" + LARGE, client.readLine());
+        beginLargeResponse(client, 1, endpointConnection, randomBytes(LARGE_BYTES));
+        assertEquals("$" + LARGE_BYTES, client.readLine());
         client.close();
         assertTrue(endpointConnection.awaitEnd());
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("open_requests 0\n"));
     }
 
-    /** Many readers that take nothing: far more than the memory of a node is on its way. */
+    /** The clients together would have far more on its way than a node has memory. */
     @Test
     void clientsThatDoNotReadHoldEndpointsBack() throws Exception {
         maxSockets = 512;
         start();
-        byte[] value = bytes(LARGE);
+        byte[] value = randomBytes(LARGE_BYTES);
         List<Peer.Connection> clients = new ArrayList<>();
         List<Thread> writers = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             Peer.Connection client = connectClient();
             clients.add(client);
             sendGet(client, "1" + i, "read", 20_000);
-            Peer.Connection line = i == 0 ? endpointConnection : endpointPeer.awaitConnection();
-            line.readMessage();
+            Peer.Connection connection = i == 0 ? endpointConnection : endpointPeer.awaitConnection();
+            connection.readMessage();
             Thread writer = new Thread(() -> {
                 try {
-                    line.write("*3\r\n$" + LARGE + "\r\n");
-                    write(line, value, 0, LARGE);
-                    line.write("\r\n$-1\r\n$-1\r\n");
+                    connection.write("*3\r\n$" + LARGE_BYTES + "\r\n");
+                    writeBytes(connection, value, 0, LARGE_BYTES);
+                    connection.write("\r\n$-1\r\n$-1\r\n");
                 } catch (Exception e) {
                     policyEvents.add("server: " + e);
                 }
             });
             writer.start();
             writers.add(writer);
-            assertEquals("$" + LARGE, client.readLine());
+            assertEquals("$" + LARGE_BYTES, client.readLine());
         }
         for (Peer.Connection client : clients) {
-            assertArrayEquals(value, client.input.readNBytes(LARGE));
+            assertArrayEquals(value, client.input.readNBytes(LARGE_BYTES));
             assertEquals("", client.readLine());
         }
         for (Thread writer : writers) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /** It was cut off a quarter of a second after its first byte, though it was still coming. */
+    /** A response that keeps coming is not incomplete, however long it takes. */
     @Test
     void smallResponseInSlowPiecesIsWaitedFor() throws Exception {
         start();
@@ -183,16 +184,16 @@
         sendGet(client, "01", "read", 5000);
         expectRequest(1, "read");
         endpointConnection.readMessage();
-        endpointConnection.write("*3\r\n$" + (LARGE + 1) + "\r\nabc");
+        endpointConnection.write("*3\r\n$" + (LARGE_BYTES + 1) + "\r\nabc");
         expectEvent("ended 1 0 ERROR false");
         assertEquals(List.of("-ERR failed"), client.readMessage());
         assertTrue(endpointConnection.awaitEnd());
         sendGet(client, "02", "read", 5000);
         expectRequest(2, "read");
-        Peer.Connection line = endpointPeer.awaitConnection();
-        line.readMessage();
-        line.write("*3\r\n$1\r\nv\r\n$70000\r\n"); // nor are the figures and the report
+        Peer.Connection connection = endpointPeer.awaitConnection();
+        connection.readMessage();
+        connection.write("*3\r\n$1\r\nv\r\n$70000\r\n"); // neither may usage figures and load report be large
         expectEvent("ended 2 0 ERROR false");
-        assertThrows(EOFException.class, line::readLine);
+        assertThrows(EOFException.class, connection::readLine);
     }
 }
--- a/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
+++ b/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Answers of app servers and of the counter that are spoilt, or bring more than belongs to them. */
+/** Responses of endpoints and of the counter that are malformed, or have more behind them. */
 class MalformedPeerResponseTest extends NodeFixture {
-    private Peer.Connection next(Peer.Connection client, int id) throws Exception {
+    private Peer.Connection sendGetOnNewConnection(Peer.Connection client, int id) throws Exception {
         sendGet(client, "0" + id, "read", 5000);
         expectRequest(id, "read");
-        Peer.Connection line = endpointPeer.awaitConnection();
-        assertEquals("0" + id, line.readMessage().get(2));
-        return line;
+        Peer.Connection connection = endpointPeer.awaitConnection();
+        assertEquals("0" + id, connection.readMessage().get(2));
+        return connection;
     }
 
-    /** A second copy, or half a message, right behind an answer is not the next request's value. */
+    /** A second copy or half a message right behind a response must not be taken for that of the next request. */
     @Test
     void bytesBehindAResponseCloseTheConnection() throws Exception {
         start();
@@ -26,30 +26,30 @@
         expectRequest(1, "read");
         endpointConnection.readMessage();
         String[] behind = {"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3", "noise"};
-        Peer.Connection line = endpointConnection;
+        Peer.Connection connection = endpointConnection;
         for (int i = 1; i <= behind.length; i++) {
-            line.write("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n" + behind[i - 1]);
+            connection.write("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n" + behind[i - 1]);
             assertEquals(List.of("one"), client.readMessage());
             expectEvent("ended " + i + " 0 OK true");
-            assertTrue(line.awaitEnd(), behind[i - 1]);
-            line = next(client, i + 1);
+            assertTrue(connection.awaitEnd(), behind[i - 1]);
+            connection = sendGetOnNewConnection(client, i + 1);
         }
-        line.sendValue("own");
+        connection.sendValue("own");
         assertEquals(List.of("own"), client.readMessage());
     }
 
-    /** Also when nothing is asked on the connection: the decoder keeps half a message to itself. */
+    /** The decoder keeps half a message to itself: bytes are seen even where no message comes of them. */
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
         start();
         endpointConnection.write("*3\r\n$5\r\nst");
         assertTrue(endpointConnection.awaitEnd());
-        Peer.Connection line = next(connectClient(), 1);
-        line.sendValue("v");
+        Peer.Connection connection = sendGetOnNewConnection(connectClient(), 1);
+        connection.sendValue("v");
         expectEvent("ended 1 0 OK true");
     }
 
-    /** It may have run, and what comes next on the connection belongs to nobody. */
+    /** It may have been executed, and what comes next on the connection belongs to no request. */
     @Test
     void malformedResponseIsAnErrorAndClosesTheConnection() throws Exception {
         start();
@@ -70,15 +70,15 @@
             "*3\r\n$-7\r\n"
         };
         for (int i = 1; i <= forms.length; i++) {
-            Peer.Connection line = next(client, i);
-            line.write(forms[i - 1]);
+            Peer.Connection connection = sendGetOnNewConnection(client, i);
+            connection.write(forms[i - 1]);
             expectEvent("ended " + i + " 0 ERROR false");
             assertEquals(List.of("-ERR failed"), client.readMessage());
-            assertTrue(line.awaitEnd(), forms[i - 1]);
+            assertTrue(connection.awaitEnd(), forms[i - 1]);
         }
     }
 
-    /** A value whose length is longer than what comes kept its request until the client's time was up. */
+    /** A value that is shorter than its length must not hold its request until the client's timeout. */
     @Test
     void stalledIncompleteResponseIsNotWaitedFor() throws Exception {
         start();
@@ -92,7 +92,7 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** Half an array is an error by the codec's word, half a line a reset: by both it may have run. */
+    /** Half an array is an error, half a line a reset: with both the request may have been executed. */
     @Test
     void incompleteResponseAtTheCloseCountsAsExecuted() throws Exception {
         start();
@@ -100,18 +100,18 @@
         for (int i = 1; i <= 2; i++) {
             sendGet(client, "0" + i, "read", 60_000);
             expectRequest(i, "read");
-            Peer.Connection line = i == 1 ? endpointConnection : endpointPeer.awaitConnection();
-            line.readMessage();
-            line.write(i == 1 ? "*3\r\n$5\r\nst" : "-ERR fai");
-            line.close();
+            Peer.Connection connection = i == 1 ? endpointConnection : endpointPeer.awaitConnection();
+            connection.readMessage();
+            connection.write(i == 1 ? "*3\r\n$5\r\nst" : "-ERR fai");
+            connection.close();
             expectEvent("ended " + i + (i == 1 ? " 0 ERROR false" : " 0 RESET false"));
             assertEquals(List.of("-ERR failed"), client.readMessage());
         }
-        next(client, 3).sendValue("own");
+        sendGetOnNewConnection(client, 3).sendValue("own");
         assertEquals(List.of("own"), client.readMessage());
     }
 
-    /** A report that cannot be read spoils no value, and the connection is as good as before. */
+    /** The value is passed on, and the connection is used again. */
     @Test
     void malformedLoadReportDoesNotSpoilItsValue() throws Exception {
         start();
@@ -126,16 +126,16 @@
         }
     }
 
-    /** No number in it: the amount was added; the line is of no use, and NaN would stay in all sums. */
+    /** The amount was added, but the connection cannot be trusted, and a total of NaN would spoil every sum. */
     @Test
     void counterReplyWithoutANumberClosesItsConnection() throws Exception {
         start();
-        List<Peer.Connection> lines = new ArrayList<>();
+        List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            lines.add(counterPeer.awaitConnection());
+            connections.add(counterPeer.awaitConnection());
         }
         Peer.Connection client = connectClient();
-        Peer.Connection line = lines.get((int) Math.floorMod(77L, 4L));
+        Peer.Connection connection = connections.get((int) Math.floorMod(77L, 4L));
         String[] spoilt = {
             "$3\r\nNaN\r\n",
             "$8\r\nInfinity\r\n",
@@ -150,17 +150,19 @@
         for (int i = 1; i <= spoilt.length; i++) {
             sendGet(client, "0" + i, "count", 5000);
             expectRequest(i, "count");
-            for (List<String> words = line.readMessage(); words.get(0).equals("PING"); words = line.readMessage()) {
-                line.write("+PONG\r\n");
+            for (List<String> words = connection.readMessage();
+                    words.get(0).equals("PING");
+                    words = connection.readMessage()) {
+                connection.write("+PONG\r\n");
             }
-            line.write(spoilt[i - 1]);
+            connection.write(spoilt[i - 1]);
             expectEvent("counted 77 ERROR 0.0");
-            expectEvent("counted 77 RESET 0.0"); // the second call was behind it
-            line = counterPeer.awaitConnection();
+            expectEvent("counted 77 RESET 0.0"); // the second call was behind it on the same connection
+            connection = counterPeer.awaitConnection();
         }
     }
 
-    /** The library tells of half an array behind the end of its line: no exception may leave the handler. */
+    /** The codec reports half an array behind the end of its connection: no exception may leave the handler. */
     @Test
     void incompleteArrayAtTheEndOfAConnectionHarmsNothingElse() throws Exception {
         List<String> warned = new java.util.concurrent.CopyOnWriteArrayList<>();
@@ -180,26 +182,26 @@
         library.addHandler(noting);
         try {
             start();
-            List<Peer.Connection> lines = new ArrayList<>();
+            List<Peer.Connection> connections = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                lines.add(counterPeer.awaitConnection());
+                connections.add(counterPeer.awaitConnection());
             }
             Peer.Connection client = connectClient();
             sendGet(client, "01", "count", 5000);
             expectRequest(1, "count");
-            Peer.Connection line = lines.get((int) Math.floorMod(77L, 4L));
-            line.readMessage();
-            line.readMessage();
-            line.write("*2\r\n$1\r\n5\r\n");
-            line.close();
+            Peer.Connection connection = connections.get((int) Math.floorMod(77L, 4L));
+            connection.readMessage();
+            connection.readMessage();
+            connection.write("*2\r\n$1\r\n5\r\n");
+            connection.close();
             expectEvent("counted 77 RESET 0.0");
             expectEvent("counted 77 RESET 0.0");
             sendGet(client, "02", "count", 5000);
             expectRequest(2, "count");
-            line = counterPeer.awaitConnection();
-            assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), line.readMessage());
-            line.readMessage();
-            line.write("$1\r\n5\r\n$1\r\n6\r\n");
+            connection = counterPeer.awaitConnection();
+            assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), connection.readMessage());
+            connection.readMessage();
+            connection.write("$1\r\n5\r\n$1\r\n6\r\n");
             expectEvent("counted 77 OK 5.0");
             expectEvent("counted 77 OK 6.0");
             assertEquals(List.of(), warned);
@@ -208,26 +210,26 @@
         }
     }
 
-    /** A line that was reset was down for 100 ms, and all calls of its names were lost. */
+    /** A counter name keeps to one connection: while that is down all its calls are lost. */
     @Test
     void brokenCounterConnectionIsRenewedAtOnce() throws Exception {
         start();
-        List<Peer.Connection> lines = new ArrayList<>();
+        List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            lines.add(counterPeer.awaitConnection());
+            connections.add(counterPeer.awaitConnection());
         }
         Peer.Connection client = connectClient();
         sendGet(client, "01", "count", 5000);
         expectRequest(1, "count");
-        lines.get((int) Math.floorMod(77L, 4L)).close();
+        connections.get((int) Math.floorMod(77L, 4L)).close();
         expectEvent("counted 77 RESET 0.0");
         expectEvent("counted 77 RESET 0.0");
         sendGet(client, "02", "count", 5000);
         expectRequest(2, "count");
-        Peer.Connection line = counterPeer.awaitConnection();
-        assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), line.readMessage());
-        line.readMessage();
-        line.write("$1\r\n5\r\n$1\r\n6\r\n");
+        Peer.Connection connection = counterPeer.awaitConnection();
+        assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), connection.readMessage());
+        connection.readMessage();
+        connection.write("$1\r\n5\r\n$1\r\n6\r\n");
         expectEvent("counted 77 OK 5.0");
         expectEvent("counted 77 OK 6.0");
     }
--- a/src/test/java/quotagateway/node/MetricsTest.java
+++ b/src/test/java/quotagateway/node/MetricsTest.java
@@ -17,13 +17,15 @@
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
 
-/** The figures as a scrape gets them. */
+/** The metrics as a scrape gets them. */
 class MetricsTest extends NodeFixture {
     private static Map<String, Long> samples(String text) {
         Map<String, Long> samples = new TreeMap<>();
-        text.lines().filter(line -> !line.startsWith("#")).forEach(line -> {
-            int space = line.lastIndexOf(' ');
-            samples.put(line.substring(0, space).replace("edge_edge_", ""), Long.parseLong(line.substring(space + 1)));
+        text.lines().filter(connection -> !connection.startsWith("#")).forEach(connection -> {
+            int space = connection.lastIndexOf(' ');
+            samples.put(
+                    connection.substring(0, space).replace("edge_edge_", ""),
+                    Long.parseLong(connection.substring(space + 1)));
         });
         return samples;
     }
@@ -88,13 +90,13 @@
         assertEquals(3, scrape().get("relayed_total"));
         Peer.Connection gone = connectClient();
         List<String> types = new ArrayList<>(List.of("refuse", "hold", "fail"));
-        for (String type : types) { // the last two are of no class in the settings: no label for them
+        for (String type : types) { // the last two are no classes of the settings and get no label
             sendGet(gone, type, type, 100);
         }
         for (int i = 0; i < types.size(); i++) {
             gone.readMessage();
         }
-        client.close(); // abandoned: counted nowhere
+        client.close(); // an abandoned request is not counted
         for (String told = this.policyEvents.take(); !told.equals("gone 3"); told = this.policyEvents.take()) {
             assertTrue(!told.startsWith("gone 1"));
         }
--- a/src/test/java/quotagateway/node/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/node/MisbehavingClientTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send what cannot be read, say nothing, do not read, or come by hundreds. */
+/** Clients that send malformed input or nothing, that do not read, or that come by hundreds. */
 class MisbehavingClientTest extends NodeFixture {
-    /** Guards against crashes, hangs and unbounded buffers: -ERR, and a broken frame also closes. */
+    /** Neither crash, hang nor unbounded buffer: an error is the answer, and behind a malformed frame a close. */
     @Test
     void malformedInputIsAnsweredWithAnError() throws Exception {
         start();
@@ -73,7 +73,7 @@
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** An app server could not tell two open requests of one id apart; a closed one's id is free again. */
+    /** An endpoint could not tell two open requests with one id apart; the id of a completed one is free again. */
     @Test
     void secondRequestWithAnOpenIdIsRefused() throws Exception {
         start();
@@ -88,7 +88,7 @@
         assertEquals(List.of("-BUSY 1500"), other.readMessage());
     }
 
-    /** Its error would come after all that is open before it on the connection: that fails at once. */
+    /** Its error comes behind the responses to all open requests before it: so these fail at once. */
     @Test
     void malformedFrameIsAnsweredAtOnceBehindOpenRequests() throws Exception {
         start();
@@ -102,7 +102,7 @@
         expectEvent("gone 1");
     }
 
-    /** Silent ones and halves of commands filled the places of clients that ask; those that ask may stay. */
+    /** Silent and incomplete connections must not keep out clients with requests; those that have sent one may stay. */
     @Test
     void silentAndIncompleteConnectionsAreClosed() throws Exception {
         start();
@@ -116,54 +116,54 @@
         later.sendCommand("PING");
         assertEquals(List.of("+PONG"), later.readMessage());
         later.write("*1\r\n$4\r\nPI");
-        for (Peer.Connection line : List.of(silent, half, later)) {
-            assertTrue(line.readMessage().get(0).startsWith("-ERR "));
-            assertTrue(line.awaitEnd());
+        for (Peer.Connection connection : List.of(silent, half, later)) {
+            assertTrue(connection.readMessage().get(0).startsWith("-ERR "));
+            assertTrue(connection.awaitEnd());
         }
         good.sendCommand("PING");
         assertEquals(List.of("+PONG"), good.readMessage());
     }
 
-    /** One that never reads kept the process from ending after SIGTERM. */
+    /** What it does not read is not waited for without end. */
     @Test
     void clientThatNeverReadsDoesNotKeepTheNodeFromEnding() throws Exception {
         maxSockets = 1024;
         start();
         Peer.Connection client = connectClient();
         String value = "v".repeat(64 * 1024);
-        List<Peer.Connection> lines = new ArrayList<>();
-        for (int i = 0; i < 140; i++) { // more than the sockets' buffers hold
+        List<Peer.Connection> connections = new ArrayList<>();
+        for (int i = 0; i < 140; i++) { // more than fits into the sockets' buffers
             sendGet(client, "0" + i, "read", 20_000);
-            lines.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
-            lines.get(i).readMessage();
+            connections.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
+            connections.get(i).readMessage();
         }
-        for (Peer.Connection line : lines) {
-            line.sendValue(value);
+        for (Peer.Connection connection : connections) {
+            connection.sendValue(value);
         }
         drained = true;
-        node.drain(); // or the test's time is up
+        node.drain(); // would run into the test's timeout
     }
 
-    /** Running out of descriptors would end accepting: an idle client makes room for a new one. */
+    /** At the limit on connections an idle one is closed for each new one, as no more could be accepted else. */
     @Test
     void newClientsEvictTheLongestIdle() throws Exception {
         maxSockets = 40;
         start();
-        List<Peer.Connection> lines = new ArrayList<>();
+        List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            Peer.Connection line = connectClient();
-            line.sendCommand("PING");
-            assertEquals(List.of("+PONG"), line.readMessage());
-            lines.add(line);
+            Peer.Connection connection = connectClient();
+            connection.sendCommand("PING");
+            assertEquals(List.of("+PONG"), connection.readMessage());
+            connections.add(connection);
         }
-        for (int i = 0; i < 40 - 13; i++) { // the cap is a third of 40, as the rest is the node's own
-            assertTrue(lines.get(i).awaitEnd());
+        for (int i = 0; i < 40 - 13; i++) { // the limit is 13, a third of 40: the node itself needs the rest
+            assertTrue(connections.get(i).awaitEnd());
         }
-        sendGet(lines.get(39), "01", "refuse", 900);
-        assertEquals(List.of("-BUSY 1500"), lines.get(39).readMessage());
+        sendGet(connections.get(39), "01", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), connections.get(39).readMessage());
     }
 
-    /** A head may take 2 s: in a crowd it was taken for one that never asks, and ended after 0.5 s. */
+    /** Half a command may be a true request on a slow connection, and a silent connection is evicted before it. */
     @Test
     void incompleteCommandIsEvictedLast() throws Exception {
         maxSockets = 40;
@@ -171,18 +171,18 @@
         Peer.Connection slow = connectClient();
         slow.write("*1\r\n$4\r\nPI");
         Peer.Connection silent = connectClient();
-        Thread.sleep(600); // both have had the time to ask
+        Thread.sleep(600); // both may be evicted from here on
         for (int i = 0; i < 40; i++) {
-            Peer.Connection line = connectClient();
-            line.sendCommand("PING");
-            assertEquals(List.of("+PONG"), line.readMessage());
+            Peer.Connection connection = connectClient();
+            connection.sendCommand("PING");
+            assertEquals(List.of("+PONG"), connection.readMessage());
         }
         assertTrue(silent.awaitEnd());
         slow.write("NG\r\n");
         assertEquals(List.of("+PONG"), slow.readMessage());
     }
 
-    /** A crowd that came all at once kept the next one out until each had been silent for 2.5 s. */
+    /** Silent connections that came all at once are evicted after 0.5 s, not only after their 2.5 s. */
     @Test
     void nextClientIsAcceptedOnceSilentOnesHaveHadTheirTime() throws Exception {
         maxSockets = 40;
--- a/src/test/java/quotagateway/node/ProcessHandoverTest.java
+++ b/src/test/java/quotagateway/node/ProcessHandoverTest.java
@@ -10,42 +10,43 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A second process of the same edge node comes up beside the first, and takes its place. */
+/** A second process of the same gateway comes up beside the first, and takes its place. */
 class ProcessHandoverTest extends NodeFixture {
-    /** The second could not bind; the first ended connections with requests on them. */
+    /** Both listen at one address meanwhile, and the predecessor closes no connection with requests on it. */
     @Test
     void successorAcceptsClientsWhileThePredecessorFinishes() throws Exception {
         start();
-        GatewayNode old = node;
-        Peer.Connection before = connectClient();
-        sendGet(before, "01", "read", 5000);
+        GatewayNode predecessor = node;
+        Peer.Connection openClient = connectClient();
+        sendGet(openClient, "01", "read", 5000);
         expectRequest(1, "read");
         assertEquals("01", endpointConnection.readMessage().get(2));
-        Peer.Connection oldServer = endpointConnection;
-        Peer.Connection half = connectClient();
-        half.write("*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n02\r\n$19\r\n");
-        half.write("c=re");
+        Peer.Connection predecessorEndpointConnection = endpointConnection;
+        Peer.Connection incompleteClient = connectClient();
+        incompleteClient.write("*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n02\r\n$19\r\n");
+        incompleteClient.write("c=re");
 
-        listenPort = ((InetSocketAddress) old.listenAddress()).getPort();
+        listenPort = ((InetSocketAddress) predecessor.listenAddress()).getPort();
         start();
         assertEquals("200", callAdmin(node, "GET", "/admin/health").get(0));
-        Thread draining = new Thread(old::drain);
+        Thread draining = new Thread(predecessor::drain);
         draining.start();
-        while (callAdmin(old, "GET", "/admin/health").get(0).equals("200")) {
+        while (callAdmin(predecessor, "GET", "/admin/health").get(0).equals("200")) {
             Thread.onSpinWait();
         }
-        for (int i = 0; i < 100; i++) { // none is let in by the old one and reset
-            try (Peer.Connection line = Peer.Connection.connect(listenPort)) {
-                sendGet(line, "1" + i, "refuse", 900);
-                assertEquals(List.of("-BUSY 1500"), line.readMessage());
+        for (int i = 0; i < 100; i++) { // none is accepted by the predecessor and reset
+            try (Peer.Connection connection = Peer.Connection.connect(listenPort)) {
+                sendGet(connection, "1" + i, "refuse", 900);
+                assertEquals(List.of("-BUSY 1500"), connection.readMessage());
             }
         }
-        half.write("fuse,t=p,d=1500\r\n"); // begun before: taken by the old one, and answered
-        assertEquals(List.of("-BUSY 1500"), half.readMessage());
-        assertTrue(half.awaitEnd());
-        oldServer.sendValue("one");
-        assertEquals(List.of("one"), before.readMessage());
-        assertTrue(before.awaitEnd());
+        incompleteClient.write(
+                "fuse,t=p,d=1500\r\n"); // begun before the signal: the predecessor accepts and answers it
+        assertEquals(List.of("-BUSY 1500"), incompleteClient.readMessage());
+        assertTrue(incompleteClient.awaitEnd());
+        predecessorEndpointConnection.sendValue("one");
+        assertEquals(List.of("one"), openClient.readMessage());
+        assertTrue(openClient.awaitEnd());
         draining.join();
         assertEquals("200", callAdmin(node, "GET", "/admin/health").get(0));
     }
@@ -69,7 +70,7 @@
         }
     }
 
-    /** The two share one limit on sockets: the new one leaves the old one's connections their places. */
+    /** The two processes share one limit on descriptors: the predecessor's connections still need theirs. */
     @Test
     void successorAcceptsFewerClientsAtFirst() throws Exception {
         maxSockets = 40;
@@ -78,10 +79,10 @@
         Peer.Connection first = connectClient();
         first.sendCommand("PING");
         assertEquals(List.of("+PONG"), first.readMessage());
-        for (int i = 0; i < 13; i++) { // 34 in 100 of 40 with it
-            Peer.Connection line = connectClient();
-            line.sendCommand("PING");
-            assertEquals(List.of("+PONG"), line.readMessage());
+        for (int i = 0; i < 13; i++) { // 34 % of 40 are 13: the first is evicted
+            Peer.Connection connection = connectClient();
+            connection.sendCommand("PING");
+            assertEquals(List.of("+PONG"), connection.readMessage());
         }
         assertTrue(first.awaitEnd());
     }
--- a/src/test/java/quotagateway/node/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -13,7 +13,7 @@
 import quotagateway.startup.JitWarmup;
 import quotagateway.startup.Readiness;
 
-/** A node that starts again is ready in time, whoever is silent: the others carry its load until then. */
+/** A node that restarts is ready in time, whoever is silent: the other gateways carry its load until then. */
 class ReadinessTest extends NodeFixture {
     private boolean known = true;
 
@@ -23,7 +23,7 @@
         return known ? text : text.replace("\"known\":", "\"other\":");
     }
 
-    /** The time (ms) of a start from the program's first line, with those that never come up by bits. */
+    /** How long (ms) a start takes from the program's first line on; bits name the parts that never come up. */
     private static double ready(double spent, boolean known, int never) {
         DiscoveryClientTest.World clock = new DiscoveryClientTest.World(false);
         CompletableFuture<?>[] parts = new CompletableFuture<?>[3];
@@ -63,7 +63,7 @@
         assertTrue(JitWarmup.MOST_TIME + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
     }
 
-    /** Counter and app servers take connections and say nothing, and discovery may do the same. */
+    /** Counter and endpoints accept connections and send nothing, and discovery may do the same. */
     @ParameterizedTest
     @ValueSource(strings = {"discovery answers", "all silent", "all silent, no list"})
     void nodeListensWhoeverIsSilent(String how) throws Exception {
@@ -87,7 +87,7 @@
         assertEquals(List.of("+PONG"), client.readMessage());
     }
 
-    /** A list from before that cannot be taken is no reason to wait for anything, or not to start. */
+    /** Discovery has another list. */
     @Test
     void malformedCachedListDoesNotStopAStart() throws Exception {
         String text = configJson().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
--- a/src/test/java/quotagateway/node/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/node/ReloadSignalTest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A new configuration that is told of while the node comes up was never read. */
+/** A signal that comes while the node comes up must not be lost. */
 class ReloadSignalTest {
     @Test
     void signalDuringTheStartIsHandledOnceThereIsANode() {
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -17,12 +17,12 @@
 import quotagateway.config.GatewayConfig;
 import quotagateway.config.Json;
 
-/** SIGHUP and new configurations while the edge node runs. */
+/** SIGHUP and new configurations while a node runs. */
 class ReloadTest extends NodeFixture {
     @TempDir
     Path folder;
 
-    private GatewayConfig moved(Peer toDiscovery, Peer toCounter) throws IOException {
+    private GatewayConfig configWith(Peer toDiscovery, Peer toCounter) throws IOException {
         return GatewayConfig.of(
                 Json.read(configJson()
                         .replace(discoveryPeer.address(), toDiscovery.address())
@@ -30,39 +30,41 @@
                 Map.of());
     }
 
-    private static void answerLists(Peer.Connection line, String list) throws IOException {
-        assertEquals("GET /catalog/members HTTP/1.1", line.readLine()); // versions are of one place: all of it
-        while (!line.readLine().isEmpty()) {
-            assertTrue(line.socket.isConnected());
+    private static void answerListCall(Peer.Connection connection, String list) throws IOException {
+        assertEquals(
+                "GET /catalog/members HTTP/1.1",
+                connection.readLine()); // another discovery has versions of its own: the complete list
+        while (!connection.readLine().isEmpty()) {
+            assertTrue(connection.socket.isConnected());
         }
-        line.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
+        connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
     }
 
-    /** The old watch counts until the new place has told its list; then it is left. */
+    /** The old watch is in force until the new address has sent its list, and is closed then. */
     @Test
     void reloadMovesTheWatchOnceTheNewAddressHasItsList() throws Exception {
         start();
-        try (Peer next = new Peer()) {
-            node.reload(() -> moved(next, counterPeer));
-            Peer.Connection line = next.awaitConnection();
+        try (Peer newPeer = new Peer()) {
+            node.reload(() -> configWith(newPeer, counterPeer));
+            Peer.Connection connection = newPeer.awaitConnection();
             pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
             expectEvent("changes s0 DRAINING");
-            answerLists(line, list(7, true, entry("s9", endpointPeer.address(), "active")));
+            answerListCall(connection, list(7, true, entry("s9", endpointPeer.address(), "active")));
             expectEvent("whole s9 UP");
             assertTrue(watchConnection.awaitEnd());
-            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.readLine());
+            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", connection.readLine());
         }
     }
 
-    /** The signal may come as the node comes up, with the file read before it was replaced. */
+    /** The signal may come while the node comes up, when the old file has been read already. */
     @Test
     void reloadDuringTheStartMovesTheWatch() throws Exception {
         node = newNode(configJson());
-        try (Peer next = new Peer()) {
-            node.reload(() -> moved(next, counterPeer));
+        try (Peer newPeer = new Peer()) {
+            node.reload(() -> configWith(newPeer, counterPeer));
             Thread answering = new Thread(() -> {
                 try {
-                    watchConnection = next.awaitConnection();
+                    watchConnection = newPeer.awaitConnection();
                     watchConnection.readLine();
                     watchConnection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
                     pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
@@ -79,22 +81,22 @@
         }
     }
 
-    /** Calls go to the new counter once it is up, and the old lines end once nothing is owed on them. */
+    /** Calls go to the new address once it is reached; old connections are closed once no reply is due on them. */
     @Test
     void reloadMovesTheCounterConnections() throws Exception {
         start();
-        Peer.Connection[] old = new Peer.Connection[4];
+        Peer.Connection[] oldConnections = new Peer.Connection[4];
         for (int i = 0; i < 4; i++) {
-            old[i] = counterPeer.awaitConnection();
+            oldConnections[i] = counterPeer.awaitConnection();
         }
-        try (Peer next = new Peer()) {
-            node.reload(() -> moved(discoveryPeer, next));
-            Peer.Connection[] lines = new Peer.Connection[4];
+        try (Peer newPeer = new Peer()) {
+            node.reload(() -> configWith(discoveryPeer, newPeer));
+            Peer.Connection[] connections = new Peer.Connection[4];
             for (int i = 0; i < 4; i++) {
-                lines[i] = next.awaitConnection();
+                connections[i] = newPeer.awaitConnection();
             }
-            for (Peer.Connection line : old) {
-                assertTrue(line.awaitEnd()); // nothing is owed on it
+            for (Peer.Connection connection : oldConnections) {
+                assertTrue(connection.awaitEnd()); // no reply is due on it
             }
             Peer.Connection client = connectClient();
             sendGet(client, "01", "count", 900);
@@ -102,15 +104,14 @@
             expectEvent("counted 77 TIMEOUT 0.0");
             expectEvent("counted 77 TIMEOUT 0.0");
             int called = 0;
-            for (Peer.Connection line : lines) {
-                List<String> words = line.readMessage();
+            for (Peer.Connection connection : connections) {
+                List<String> words = connection.readMessage();
                 called += words.get(0).equals("CNT.ADD") ? 1 : 0;
             }
             assertEquals(1, called);
         }
     }
 
-    /** A file that cannot be read changes nothing. */
     @Test
     void reloadOfAnUnreadableFileChangesNothing() throws Exception {
         start();
@@ -122,7 +123,7 @@
         expectEvent("changes s0 DRAINING");
     }
 
-    /** The variables are those of the start: the file's discovery wins when it is read again. */
+    /** Environment variables are those of the start; what is new stands in the file. */
     @Test
     void reloadedFileWinsOverTheVariableOfTheStart() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), configJson());
@@ -147,20 +148,20 @@
         }
         Path file = Files.writeString(folder.resolve("config.json"), configJson());
         Process process = startProcess(file);
-        try (Peer next = new Peer()) {
+        try (Peer newPeer = new Peer()) {
             answerWatch(connectionFrom(process, discoveryPeer));
             connectionFrom(process, counterPeer);
             connectionFrom(process, endpointPeer);
             awaitListening(process);
-            Files.writeString(file, configJson().replace(discoveryPeer.address(), next.address()));
+            Files.writeString(file, configJson().replace(discoveryPeer.address(), newPeer.address()));
             assertEquals(
                     0,
                     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                             .start()
                             .waitFor());
-            Peer.Connection line = connectionFrom(process, next);
-            answerLists(line, list(7, true, entry("s9", endpointPeer.address(), "active")));
-            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.readLine());
+            Peer.Connection connection = connectionFrom(process, newPeer);
+            answerListCall(connection, list(7, true, entry("s9", endpointPeer.address(), "active")));
+            assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", connection.readLine());
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
         } finally {
             process.destroy();
@@ -183,21 +184,21 @@
 
     /** The next connection to a peer, which the process makes as long as it lives. */
     private static Peer.Connection connectionFrom(Process process, Peer peer) throws InterruptedException {
-        Peer.Connection line = peer.pollConnection(100);
-        while (line == null) {
+        Peer.Connection connection = peer.pollConnection(100);
+        while (connection == null) {
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
-            line = peer.pollConnection(100);
+            connection = peer.pollConnection(100);
         }
-        return line;
+        return connection;
     }
 
     /** It listens once its start is over. */
     private void awaitListening(Process process) throws Exception {
         while (true) {
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
-            try (Peer.Connection line = Peer.Connection.connect(listenPort)) {
-                line.sendCommand("PING");
-                assertEquals(List.of("+PONG"), line.readMessage());
+            try (Peer.Connection connection = Peer.Connection.connect(listenPort)) {
+                connection.sendCommand("PING");
+                assertEquals(List.of("+PONG"), connection.readMessage());
                 return;
             } catch (ConnectException notYet) {
                 Thread.sleep(50);
--- a/src/test/java/quotagateway/node/RequestEndTest.java
+++ b/src/test/java/quotagateway/node/RequestEndTest.java
@@ -21,16 +21,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What is owed when a request, a connection or the process ends at a rare moment. */
+/** Requests, connections and processes that end at rare moments: what is owed then is given all the same. */
 class RequestEndTest extends NodeFixture {
-    /** More than the sockets' buffers hold. */
-    private static final int CALLS = 110;
+    /** Requests whose responses are more than fits into the sockets' buffers. */
+    private static final int REQUESTS = 110;
 
     private static final String VALUE = "v".repeat(64 * 1024);
 
-    private final Set<String> seen = new HashSet<>();
+    private final Set<String> seenEvents = new HashSet<>();
 
-    /** Where the module may not cancel, an attempt that waited for its connection was sent all the same. */
+    /** It is not sent even where the policy has not cancelled its attempt. */
     @Test
     void completedRequestIsNotSentWhenItsConnectionComesUp() throws Exception {
         start();
@@ -38,7 +38,7 @@
         sendGet(client, "01", "read", 1500);
         expectRequest(1, "read");
         assertEquals("01", endpointConnection.readMessage().get(2));
-        sendGet(client, "02", "drop", 1500); // the one connection is taken: another has to come up
+        sendGet(client, "02", "drop", 1500); // the one connection is in use: another has to come up
         expectRequest(2, "drop");
         expectEvent("ended 2 0 NOT_SENT true");
         Peer.Connection second = endpointPeer.awaitConnection();
@@ -46,25 +46,25 @@
         assertEquals("03", second.readMessage().get(2));
     }
 
-    /** A counter that takes a connection and ends it without a word was called as fast as the loop went. */
+    /** Accepting a connection is no sign that the counter works: the backoff goes on. */
     @Test
     void counterThatClosesEachConnectionIsNotCalledWithoutAPause() throws Exception {
         start();
         int came = 0;
         long until = System.nanoTime() + 1_000_000_000L;
-        for (Peer.Connection line = counterPeer.pollConnection(1000);
+        for (Peer.Connection connection = counterPeer.pollConnection(1000);
                 System.nanoTime() < until;
-                line = counterPeer.pollConnection(1000)) {
-            if (line != null) {
+                connection = counterPeer.pollConnection(1000)) {
+            if (connection != null) {
                 came++;
-                line.close();
+                connection.close();
             }
         }
         assertTrue(came >= 8, "each line comes again: " + came);
         assertTrue(came <= 40, came + " connections of four lines in a second");
     }
 
-    /** Connections made ahead, one for each server of a list, took the descriptors of all others. */
+    /** Connections are made ahead for each endpoint of a list, and must not take the descriptors of all others. */
     @Test
     void connectionsMadeAheadStayWithinTheEndpointsBudget() throws Exception {
         maxSockets = 40;
@@ -74,7 +74,7 @@
             hosts[i] = entry("s" + i, endpointPeer.address(), "active");
         }
         pushToWatch(list(42, true, hosts));
-        for (int i = 1; i < 10; i++) { // a quarter of 40
+        for (int i = 1; i < 10; i++) { // a quarter of 40 are 10
             endpointPeer.awaitConnection();
         }
         assertNull(endpointPeer.pollConnection(200));
@@ -82,7 +82,7 @@
         assertEquals("01", endpointConnection.readMessage().get(2));
     }
 
-    /** The bind came after the end: it failed, or let clients in whom nobody was left to answer. */
+    /** A listener that came up behind the end would accept clients whom nobody answers. */
     @Test
     void nodeToldToEndDuringItsStartDoesNotListen() throws Exception {
         try (ServerSocket free = new ServerSocket(0)) {
@@ -94,7 +94,7 @@
             return null;
         });
         new Thread(starting).start();
-        expectEvent("whole s0 UP"); // discovery does not answer: the start waits for it
+        expectEvent("whole s0 UP"); // discovery does not answer, and the start waits for it
         drained = true;
         node.drain();
         starting.get();
@@ -102,11 +102,11 @@
         assertThrows(ConnectException.class, () -> Peer.Connection.connect(listenPort));
     }
 
-    /** A loop that was late closed the listener over clients that had connected meanwhile. */
+    /** Clients that have connected and wait to be accepted must not be reset by the close of the listener. */
     @Test
     void connectedClientsAreAnsweredThoughTheLoopIsLate() throws Exception {
         start();
-        new ProcessHandover(stateFolder, "n0").claim(); // the end begins at once
+        new ProcessHandover(stateFolder, "n0").claim(); // so the node stops listening at once
         Peer.Connection first = connectClient();
         Peer.Connection second = connectClient();
         second.sendCommand("PING");
@@ -117,25 +117,25 @@
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        while (draining.getState() != Thread.State.WAITING) { // for the end, which is the loop's to tell
+        while (draining.getState() != Thread.State.WAITING) { // for the end, which the event loop has still to reach
             Thread.onSpinWait();
         }
-        stallPermits.release(); // it stops listening, reads the second, and
+        stallPermits.release(); // the node stops listening, reads the second request and is held up again
         expectRequest(2, "stall");
-        List<Peer.Connection> late = new ArrayList<>();
-        for (int i = 0; i < 40; i++) { // more than are accepted in a round
-            late.add(connectClient());
-            late.get(i).sendCommand("PING");
+        List<Peer.Connection> lateClients = new ArrayList<>();
+        for (int i = 0; i < 40; i++) { // more than are accepted in one round of the loop
+            lateClients.add(connectClient());
+            lateClients.get(i).sendCommand("PING");
         }
-        Thread.sleep(60); // is later than the listener's end is due
+        Thread.sleep(60); // past the time at which the listener was to be closed
         stallPermits.release();
-        for (Peer.Connection line : late) {
-            assertEquals(List.of("+PONG"), line.readMessage());
+        for (Peer.Connection connection : lateClients) {
+            assertEquals(List.of("+PONG"), connection.readMessage());
         }
         draining.join();
     }
 
-    /** A client that rests until it is ended may send in that moment: it asks once more elsewhere. */
+    /** An idle client may send a request in the moment of the close: it sends it again elsewhere. */
     @Test
     void commandsBehindTheEndOfAConnectionAreNotAccepted() throws Exception {
         start();
@@ -145,20 +145,21 @@
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        assertEquals(-1, resting.input.read()); // its side is open, and read, for a while
+        assertEquals(-1, resting.input.read()); // the client's side is still open and read for a while
         sendGet(resting, "01", "read", 900);
         draining.join();
         assertTrue(policyEvents.stream().noneMatch(t -> t.startsWith("arrived")), policyEvents.toString());
     }
 
-    private static String refused(String id) {
+    private static String refusedCommand(String id) {
         String list = "c=refuse,t=p,d=900,units=2,spread=3,first=1";
         return "*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER + "\r\n$2\r\n" + id + "\r\n$" + list.length() + "\r\n"
                 + list + "\r\n";
     }
 
-    private Thread drainBesideANewProcess() {
-        new ProcessHandover(stateFolder, "n0").claim(); // connections end behind their next answer from the signal on
+    private Thread drainBesideASuccessor() {
+        new ProcessHandover(stateFolder, "n0")
+                .claim(); // connections are closed behind their next response from the signal on
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
@@ -168,15 +169,15 @@
         return draining;
     }
 
-    /** The first one's answer ended the connection, over a second one that had been read with it. */
+    /** The response to the first must not close the connection with the second one already read. */
     @Test
     void commandsReadTogetherInAShutdownAreAllAnswered() throws Exception {
         start();
         Peer.Connection client = connectClient();
         client.sendCommand("PING");
         assertEquals(List.of("+PONG"), client.readMessage());
-        Thread draining = drainBesideANewProcess();
-        client.write(refused("01") + refused("02") + refused("03"));
+        Thread draining = drainBesideASuccessor();
+        client.write(refusedCommand("01") + refusedCommand("02") + refusedCommand("03"));
         for (int i = 0; i < 3; i++) {
             assertEquals(List.of("-BUSY 1500"), client.readMessage());
         }
@@ -184,21 +185,21 @@
         draining.join();
     }
 
-    /** Its rest came to a process that had gone: whether it had been taken, nobody could tell. */
+    /** Its rest would come to a process that has ended: the client could not know whether it was executed. */
     @Test
     void incompleteCommandIsAnsweredAtTheEndOfTheProcess() throws Exception {
         start();
         Peer.Connection client = connectClient();
         client.sendCommand("PING");
         assertEquals(List.of("+PONG"), client.readMessage());
-        Thread draining = drainBesideANewProcess();
-        client.write(refused("01").substring(0, 40));
+        Thread draining = drainBesideASuccessor();
+        client.write(refusedCommand("01").substring(0, 40));
         assertEquals(List.of("-ERR the edge node ends"), client.readMessage());
         assertEquals(-1, client.input.read());
         draining.join();
     }
 
-    /** It was taken past the bound of the shutdown, and open when the kill came. */
+    /** It would be open when SIGKILL comes. */
     @Test
     void requestPastTheShutdownDeadlineIsRejectedAtOnce() throws Exception {
         start();
@@ -207,8 +208,8 @@
         endpointConnection.readMessage();
         endpointConnection.write("*3\r\n$100000\r\nhalf");
         assertEquals("$100000", client.readLine());
-        Thread draining = drainBesideANewProcess();
-        Thread.sleep(3000); // answers were due after 2400
+        Thread draining = drainBesideASuccessor();
+        Thread.sleep(3000); // responses were due after 2400 ms
         sendGet(client, "02", "refuse", 20_000);
         Thread.sleep(100);
         endpointConnection.write("v".repeat(100_000 - 4) + "\r\n$-1\r\n$-1\r\n");
@@ -219,44 +220,44 @@
         assertTrue(policyEvents.stream().noneMatch(t -> t.startsWith("arrived 2 ")), policyEvents.toString());
     }
 
-    /** Closed over bytes that had not been read, its connection was reset. */
+    /** A close with unread bytes would be a reset, which can drop the response before it. */
     @Test
     void evictedConnectionIsClosedAndNotReset() throws Exception {
-        assumeTrue(Epoll.isAvailable()); // what came first is told first
+        assumeTrue(Epoll.isAvailable()); // NIO does not keep the order of what comes
         maxSockets = 40;
         start();
         Peer.Connection idlest = connectClient();
-        List<Peer.Connection> all = new ArrayList<>(List.of(idlest));
-        while (all.size() < 12) {
-            all.add(connectClient());
+        List<Peer.Connection> clients = new ArrayList<>(List.of(idlest));
+        while (clients.size() < 12) {
+            clients.add(connectClient());
         }
-        for (Peer.Connection line : all) {
-            line.sendCommand("PING");
-            assertEquals(List.of("+PONG"), line.readMessage());
+        for (Peer.Connection connection : clients) {
+            connection.sendCommand("PING");
+            assertEquals(List.of("+PONG"), connection.readMessage());
         }
-        Peer.Connection busy = connectClient(); // the thirteenth
+        Peer.Connection busy = connectClient(); // the thirteenth, and the last that there may be
         sendGet(busy, "01", "stall", 9000);
         expectRequest(1, "stall");
         Peer.Connection next = connectClient();
         idlest.sendCommand("PING");
         stallPermits.release();
-        assertEquals(-1, idlest.input.read()); // else it throws
+        assertEquals(-1, idlest.input.read()); // a reset would throw
         next.sendCommand("PING");
         assertEquals(List.of("+PONG"), next.readMessage());
     }
 
-    private void await(String text) throws InterruptedException {
-        if (seen.contains(text)) {
+    private void awaitEvent(String text) throws InterruptedException {
+        if (seenEvents.contains(text)) {
             return;
         }
         for (String next = ""; !next.equals(text); ) {
             next = policyEvents.poll(10, TimeUnit.SECONDS);
             assertNotNull(next, text);
-            seen.add(next);
+            seenEvents.add(next);
         }
     }
 
-    private Peer.Connection smallWindow() throws IOException {
+    private Peer.Connection connectSlowReader() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(node.listenAddress());
@@ -265,60 +266,60 @@
         return client;
     }
 
-    /** Asks for so much that it stands in the node while the client does not read. */
-    private List<Peer.Connection> calls(Peer.Connection client) throws Exception {
-        List<Peer.Connection> lines = new ArrayList<>();
-        for (int i = 0; i < CALLS; i++) {
+    /** Asks for so much that part of it waits in the node while the client does not read. */
+    private List<Peer.Connection> sendRequests(Peer.Connection client) throws Exception {
+        List<Peer.Connection> connections = new ArrayList<>();
+        for (int i = 0; i < REQUESTS; i++) {
             sendGet(client, "0" + i, "read", 20_000);
-            lines.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
-            lines.get(i).readMessage();
+            connections.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
+            connections.get(i).readMessage();
         }
-        return lines;
+        return connections;
     }
 
-    private void readHttpResponse(List<Peer.Connection> lines) throws Exception {
-        for (Peer.Connection line : lines) {
-            line.sendValue(VALUE);
+    private void respondToAll(List<Peer.Connection> connections) throws Exception {
+        for (Peer.Connection connection : connections) {
+            connection.sendValue(VALUE);
         }
-        for (int i = 1; i <= CALLS; i++) {
-            await("ended " + i + " 0 OK true");
+        for (int i = 1; i <= REQUESTS; i++) {
+            awaitEvent("ended " + i + " 0 OK true");
         }
     }
 
-    /** All its answers are written: it was as idle as any, and cut off. */
+    /** All its responses are written, but not sent: it only seems idle. */
     @Test
     void slowReaderIsNotEvicted() throws Exception {
         maxSockets = 450;
         start();
-        Peer.Connection slow = smallWindow();
-        readHttpResponse(calls(slow));
-        for (int i = 0; i < 300; i++) { // the bound is below that
-            Peer.Connection line = connectClient();
-            line.sendCommand("PING");
-            assertEquals(List.of("+PONG"), line.readMessage());
+        Peer.Connection slow = connectSlowReader();
+        respondToAll(sendRequests(slow));
+        for (int i = 0; i < 300; i++) { // the limit on connections is below that
+            Peer.Connection connection = connectClient();
+            connection.sendCommand("PING");
+            assertEquals(List.of("+PONG"), connection.readMessage());
         }
-        for (int i = 0; i < CALLS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             assertEquals(List.of(VALUE), slow.readMessage());
         }
     }
 
-    /** The end that tells of it took the answers before it along, at once or 2 s later. */
+    /** The close that tells the client of it must not drop the responses before it, neither at once nor 2 s later. */
     @Test
     void valueThatBreaksOffLeavesEarlierResponsesWhole() throws Exception {
         maxSockets = 450;
         start();
-        Peer.Connection slow = smallWindow();
-        List<Peer.Connection> lines = calls(slow);
+        Peer.Connection slow = connectSlowReader();
+        List<Peer.Connection> connections = sendRequests(slow);
         sendGet(slow, "ff", "read", 20_000);
         Peer.Connection last = endpointPeer.awaitConnection();
         last.readMessage();
         last.write("*3\r\n$100000\r\nhalf");
-        readHttpResponse(lines);
-        await("ended " + (CALLS + 1) + " 0 OK true"); // it has begun, and has its turn behind the others
+        respondToAll(connections);
+        awaitEvent("ended " + (REQUESTS + 1) + " 0 OK true"); // it has begun, and its turn comes behind the others
         last.close();
-        for (int i = 0; i < CALLS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             if (i < 40) {
-                Thread.sleep(60); // over 2 s, with much of it to come
+                Thread.sleep(60); // over 2 s in all, with much of it still to come
             }
             assertEquals(List.of(VALUE), slow.readMessage());
         }
--- a/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
+++ b/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
@@ -12,7 +12,7 @@
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
 
-/** The time that a shutdown has, by the deadlines of the settings. */
+/** The time that a shutdown has, by the deadlines of the request classes. */
 class ShutdownDeadlineTest {
     private static PolicySettings settings(double... deadlines) {
         PolicySettings none = SettingsReader.read(Map.of());
--- a/src/test/java/quotagateway/node/ShutdownProcessTest.java
+++ b/src/test/java/quotagateway/node/ShutdownProcessTest.java
@@ -24,46 +24,46 @@
 
 /**
  * A planned restart of a real process, with its real signals: SIGTERM, and SIGKILL at the earliest time that
- * the protocol allows. Its place server takes requests and never answers, behind a proxy that holds answers.
+ * the protocol allows. Its endpoint accepts requests and never responds, behind a proxy that holds responses back.
  */
 @Timeout(60)
 class ShutdownProcessTest {
     /** SIGKILL comes no sooner than this (ms) behind the longest deadline, which counts as 3 s at most. */
-    private static final int KILL_BEHIND = 750;
+    private static final int KILL_AFTER_DEADLINE_MS = 750;
 
-    private static final int DEADLINE_COUNTED = 3000;
-    private static final int READY_WITHIN = 30_000;
+    private static final int MAX_COUNTED_DEADLINE_MS = 3000;
+    private static final int READY_WITHIN_MS = 30_000;
     private static final String UNANSWERED = "connection ended with no whole answer";
 
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
     private NodeProcess node;
 
-    private Peer placeServer;
+    private Peer endpoint;
     private Peer discovery;
     private FaultProxy proxy;
 
     @BeforeEach
-    void peers() throws IOException {
-        placeServer = new Peer();
-        discovery = new Peer(); // takes connections and says nothing: the list known before counts
-        proxy = new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), placeServer.port()));
-        open.addAll(List.of(placeServer, discovery, proxy));
+    void openPeers() throws IOException {
+        endpoint = new Peer();
+        discovery = new Peer(); // accepts connections and sends nothing: the cached list is in force
+        proxy = new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), endpoint.port()));
+        closeables.addAll(List.of(endpoint, discovery, proxy));
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeAll() throws Exception {
         if (node != null) {
             node.close();
         }
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
     }
 
-    /** Starts a node whose classes have this deadline (ms), and holds the answers of its place server. */
+    /** Starts a node whose request classes have this deadline (ms), and holds back its endpoint's responses. */
     private void start(int deadline) throws Exception {
         int port = NodeProcess.freePort();
         Path config = folder.resolve("config.json");
@@ -97,7 +97,7 @@
                 Map.of("EDGE_CONFIG", config.toString(), "TMPDIR", folder.toString()),
                 folder.resolve("log"),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        assertTrue(node.awaitReady(READY_WITHIN), () -> "not ready: " + log());
+        assertTrue(node.awaitReady(READY_WITHIN_MS), () -> "not ready: " + log());
         proxy.mode(FaultProxy.Mode.HOLD_ANSWERS);
     }
 
@@ -109,18 +109,18 @@
         }
     }
 
-    private Peer.Connection client() throws IOException {
-        Peer.Connection line = Peer.Connection.connect(node.address().getPort());
-        open.add(line);
-        return line;
+    private Peer.Connection connectClient() throws IOException {
+        Peer.Connection connection = Peer.Connection.connect(node.address().getPort());
+        closeables.add(connection);
+        return connection;
     }
 
-    private static void post(Peer.Connection client, String id, int wait) throws IOException {
+    private static void sendPost(Peer.Connection client, String id, int wait) throws IOException {
         client.sendCommand(
                 "CALL.POST", NodeFixture.CUSTOMER, id, "c=order,t=p,d=" + wait + ",units=1,spread=1,first=0", "body");
     }
 
-    /** What the client sees: the answer, or the end of its connection. */
+    /** What the client sees: the response, or the end of its connection. */
     private static String outcome(Peer.Connection client) throws IOException {
         try {
             return client.readMessage().toString();
@@ -136,13 +136,13 @@
         }
     }
 
-    /** The platform's planned restart: the signal that ends it, and the kill at its earliest time. */
+    /** A planned restart: SIGTERM, and SIGKILL at its earliest time. */
     private long terminate(int deadline) {
         long from = System.nanoTime();
         node.signal(NodeProcess.Signal.TERM);
         Thread killer = new Thread(() -> {
             try {
-                sleepUntil(from, Math.min(deadline, DEADLINE_COUNTED) + KILL_BEHIND);
+                sleepUntil(from, Math.min(deadline, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS);
                 node.signal(NodeProcess.Signal.KILL);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -153,15 +153,15 @@
         return from;
     }
 
-    /** A client that connects in the shutdown, and asks past the time up to which a kill excuses. */
+    /** A client that connects during the shutdown, and sends its request late in it. */
     private void lateRequestIsAnswered(int deadline) throws Exception {
         start(deadline);
         long from = terminate(deadline);
         sleepUntil(from, 200);
-        Peer.Connection late = client();
+        Peer.Connection late = connectClient();
         sleepUntil(from, 950);
-        post(late, "01", deadline);
-        Peer.Connection got = placeServer.awaitConnection();
+        sendPost(late, "01", deadline);
+        Peer.Connection got = endpoint.awaitConnection();
         assertEquals("01", got.readMessage().get(2), "it is passed on");
         assertEquals("[-ERR failed]", outcome(late), this::log);
     }
@@ -176,14 +176,14 @@
         lateRequestIsAnswered(4000);
     }
 
-    /** What was taken before the signal is owed too: its time ends behind the kill. */
+    /** A request that was accepted before the signal has its deadline brought forward before SIGKILL. */
     @Test
     void requestAcceptedBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
         int deadline = 4000;
         start(deadline);
-        Peer.Connection before = client();
-        post(before, "01", deadline);
-        Peer.Connection got = placeServer.awaitConnection();
+        Peer.Connection before = connectClient();
+        sendPost(before, "01", deadline);
+        Peer.Connection got = endpoint.awaitConnection();
         assertEquals("01", got.readMessage().get(2), "it is passed on");
         terminate(deadline);
         assertEquals("[-ERR failed]", outcome(before), this::log);
