--- a/src/main/java/quotagateway/node/ActiveRequest.java
+++ b/src/main/java/quotagateway/node/ActiveRequest.java
@@ -123,8 +123,9 @@
     }
 
     /**
-     * Completes it: from here on its connection and its deadline no longer concern it, and what has not been sent of
-     * its body never is. Called once, by {@link RequestTable}.
+     * Completes it: from here on what happens to its connection does not concern it, and what has not been sent of its
+     * body never is. Its deadline stays only where attempts are in flight, to time them out. Called once, by {@link
+     * RequestTable}.
      */
     void complete(double now) {
         completedAtMs = now;
--- a/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
+++ b/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
@@ -103,8 +103,8 @@
                 step(node, servers, round == 0 ? "asks" : "asks again");
                 OutputStream raw = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
                 PrintStream out = new PrintStream(raw);
-                out.print("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"); // the end of the connection is that of the
-                // list
+                // the list ends with the connection
+                out.print("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
                 list(out, servers, seq++);
                 step(node, servers, "list written");
             }
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -31,9 +31,8 @@
     }
 
     private static void answerListCall(Peer.Connection connection, String list) throws IOException {
-        assertEquals(
-                "GET /catalog/members HTTP/1.1",
-                connection.readLine()); // another discovery has versions of its own: the complete list
+        // another discovery has versions of its own: the complete list is asked for
+        assertEquals("GET /catalog/members HTTP/1.1", connection.readLine());
         while (!connection.readLine().isEmpty()) {
             assertTrue(connection.socket.isConnected());
         }
