--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -13,7 +13,7 @@
     /** Half is forgotten in this time, in which slowness is nearly gone. */
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
-    /** By the name of the class. */
+    /** By the name of the class; none for classes that never failed. */
     private final Map<String, DecayingValue> failureShares = new HashMap<>();
 
     /** The part of this class's attempts that fail, from 0 to 1. */
@@ -23,20 +23,23 @@
     }
 
     public void recordSuccess(RequestClass requestClass, double now) {
-        record(requestClass, 0, now);
+        DecayingValue share = failureShares.get(requestClass.name());
+        if (share != null) {
+            add(share, 0, now);
+        }
     }
 
     public void recordFailure(RequestClass requestClass, double now) {
-        record(requestClass, 1, now);
-    }
-
-    /** The newest sample counts as much as all before it: one failure is reason enough to try elsewhere. */
-    private void record(RequestClass requestClass, double failed, double now) {
         DecayingValue share = failureShares.get(requestClass.name());
         if (share == null) {
             share = new DecayingValue(0, FAILURE_HALF_LIFE_MS, now);
             failureShares.put(requestClass.name(), share);
         }
+        add(share, 1, now);
+    }
+
+    /** The newest sample counts as much as all before it: one failure is reason enough to try elsewhere. */
+    private static void add(DecayingValue share, double failed, double now) {
         share.set((share.valueAt(now) + failed) / 2, now);
     }
 
--- a/src/main/java/quotagateway/policy/quota/CreditBalance.java
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -14,6 +14,9 @@
     /** When each leased unit that is not there yet falls due, the earliest first. */
     private final ArrayDeque<Double> dueTimes = new ArrayDeque<>(1); // empty for most customers
 
+    /** How many of them there are: it is looked at for every customer at every re-split. */
+    private int scheduledUnits;
+
     private double credits;
     private double unreported;
     private double accruedAt;
@@ -35,7 +38,7 @@
 
     /** Leased units that fall due later. */
     double scheduledUnits() {
-        return dueTimes.size();
+        return scheduledUnits;
     }
 
     /** When the share of the rate was last given out. */
@@ -55,12 +58,14 @@
     /** A leased unit becomes a credit at this time; later ones have to be scheduled later. */
     void schedule(double dueAt) {
         dueTimes.add(dueAt);
+        scheduledUnits++;
     }
 
     /** Makes credits of the leased units that have fallen due. */
     void collectDue(double now) {
-        while (!dueTimes.isEmpty() && dueTimes.peek() <= now + DUE_TOLERANCE_MS) {
+        while (scheduledUnits > 0 && dueTimes.peek() <= now + DUE_TOLERANCE_MS) {
             dueTimes.poll();
+            scheduledUnits--;
             credits++;
         }
     }
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -165,18 +165,23 @@
 
     // ---- the re-split ----
 
-    /** A period ends: returns surplus units where a call may be made. */
-    void resplit() {
+    /**
+     * A period ends: returns surplus units where a call may be made.
+     *
+     * @return whether units are short instead, and should be claimed ahead of the requests to come
+     */
+    boolean resplit() {
         usualDemand.endPeriod();
         accrue();
-        double surplus = -shortage();
-        if (surplus >= 1
+        double shortage = shortage();
+        if (shortage <= -1
                 && !counter.isExchangeOpen()
                 && counter.mayCall()
                 && !holder.local()
                 && holder.plan().rate() > 0) {
-            lease.giveBack(surplus);
+            lease.giveBack(-shortage);
         }
+        return shortage >= 1;
     }
 
     /** Units that wait or usually come in a period, and are not covered. */
@@ -187,11 +192,6 @@
                 - balance.scheduledUnits();
     }
 
-    /** Whether units should be claimed ahead of the requests to come. */
-    boolean isShort() {
-        return shortage() >= 1;
-    }
-
     /** Claims units ahead of the requests to come, where most of what is claimed is granted. */
     void claimAhead() {
         accrue();
@@ -203,10 +203,10 @@
 
     /** Whether nothing waits, is open or is expected. */
     boolean isIdle() {
-        return demand.isEmpty()
+        return usualDemand.isIdle()
+                && demand.isEmpty()
                 && demand.attemptsInFlight() == 0
                 && !counter.isExchangeOpen()
-                && (openRequests == null || openRequests.holdsNoSlot())
-                && usualDemand.isIdle();
+                && (openRequests == null || openRequests.holdsNoSlot());
     }
 }
--- a/src/main/java/quotagateway/policy/quota/QuotaResplit.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaResplit.java
@@ -33,8 +33,7 @@
         waitingForCall.clear();
         for (Iterator<CustomerQuota> it = active.iterator(); it.hasNext(); ) {
             CustomerQuota quota = it.next();
-            quota.resplit();
-            if (quota.isShort()) {
+            if (quota.resplit()) {
                 waitingForCall.add(quota);
             }
             if (quota.isIdle()) {
--- a/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
@@ -118,7 +118,7 @@
         reply(CallOutcome.OK, 5);
         demand.requests = 0; // the clients have gone
         added();
-        quota.resplit();
+        assertFalse(quota.resplit(), "not short");
         assertEquals(List.of("add -5.0"), added());
         assertTrue(quota.isIdle());
     }
@@ -129,8 +129,7 @@
         for (int i = 0; i < 5; i++) {
             quota.onRequest(2);
         }
-        quota.resplit();
-        assertTrue(quota.isShort());
+        assertTrue(quota.resplit(), "short");
         quota.claimAhead();
         assertEquals(List.of("add 2.0"), added(), "a fifth of ten");
     }
