--- a/src/main/java/quotagateway/policy/endpoint/Endpoint.java
+++ b/src/main/java/quotagateway/policy/endpoint/Endpoint.java
@@ -26,6 +26,9 @@
     private final ConcurrencyLimit concurrencyLimit;
     private final RecoveryRamp ramp;
     private final SlowStartBudget slowStartBudget;
+    /** The size of the set, which is read for every endpoint in every choice. */
+    private int inFlightCount;
+
     private EndpointDescriptor descriptor;
     private boolean cordoned;
 
@@ -65,6 +68,7 @@
     public Attempt startAttempt(ClassLatency classLatency, double now) {
         Attempt attempt = new Attempt(this, classLatency, now);
         inFlight.add(attempt);
+        inFlightCount++;
         slowStartBudget.onSend();
         concurrencyLimit.onSend(now);
         ramp.onSend();
@@ -73,16 +77,17 @@
 
     void onAttemptEnded(Attempt attempt) {
         inFlight.remove(attempt);
+        inFlightCount--;
     }
 
     public int inFlight() {
-        return inFlight.size();
+        return inFlightCount;
     }
 
     /** Slowness by the responses so far, or what the oldest attempt in flight already shows. */
     public double slowness(double now) {
         double slowness = latency.slowness(now);
-        if (!inFlight.isEmpty()) {
+        if (inFlightCount > 0) {
             Attempt oldest = inFlight.iterator().next();
             slowness = Math.max(
                     slowness, (now - oldest.sentAt()) / oldest.classLatency().meanMs() / 2);
@@ -92,8 +97,8 @@
 
     /** Whether the concurrency limit allows another attempt; on trial there is one at a time. */
     public boolean hasCapacity(double now) {
-        return (inFlight.isEmpty() || !outlierDetector.isOnTrial())
-                && concurrencyLimit.allowsAnother(inFlight.size(), now);
+        return (inFlightCount == 0 || !outlierDetector.isOnTrial())
+                && concurrencyLimit.allowsAnother(inFlightCount, now);
     }
 
     public boolean isEjected(double now) {
--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -14,10 +14,13 @@
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
     /** By the name of the class; none for classes that never failed. */
-    private final Map<String, DecayingValue> failureShares = new HashMap<>();
+    private Map<String, DecayingValue> failureShares = Map.of();
 
     /** The part of this class's attempts that fail, from 0 to 1. */
     public double failureShare(RequestClass requestClass, double now) {
+        if (failureShares.isEmpty()) {
+            return 0; // as of most endpoints, in the choice among all of them
+        }
         DecayingValue share = failureShares.get(requestClass.name());
         return share == null ? 0 : share.valueAt(now);
     }
@@ -33,6 +36,9 @@
         DecayingValue share = failureShares.get(requestClass.name());
         if (share == null) {
             share = new DecayingValue(0, FAILURE_HALF_LIFE_MS, now);
+            if (failureShares.isEmpty()) {
+                failureShares = new HashMap<>();
+            }
             failureShares.put(requestClass.name(), share);
         }
         add(share, 1, now);
@@ -45,6 +51,6 @@
 
     /** Forgets everything: another process answers there now. */
     public void reset() {
-        failureShares.clear();
+        failureShares = Map.of();
     }
 }
--- a/src/main/java/quotagateway/policy/routing/EndpointPicker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointPicker.java
@@ -70,7 +70,10 @@
 
     /** How bad a choice the endpoint is; every call draws a random number. */
     private double score(AttemptHistory attempts, Endpoint candidate, double warmupFraction, double now) {
-        double score = (candidate.inFlight() + 1) * candidate.slowness(now) / Math.sqrt(warmupFraction);
+        double score = (candidate.inFlight() + 1) * candidate.slowness(now);
+        if (warmupFraction < 1) {
+            score /= Math.sqrt(warmupFraction);
+        }
         double failureShare = candidate.failures().failureShare(attempts.requestClass(), now);
         score *= (1 + JITTER * random.nextDouble())
                 * (1 + FAILURE_PENALTY * failureShare)
