--- a/src/test/java/quotagateway/policy/golden/GoldenPolicyTest.java
+++ b/src/test/java/quotagateway/policy/golden/GoldenPolicyTest.java
@@ -20,6 +20,9 @@
  *
  * which reports the tests as skipped. With {@code -Dgolden.transcript=true} all lines are written to
  * {@code target/golden}, so that the runs of two commits can be compared by {@code diff}.
+ *
+ * <p>The policy uses {@link Math#pow} and {@link Math#log}, whose last bit the platform is free to choose: the hashes
+ * hold for Java 17 on x86-64.
  */
 class GoldenPolicyTest {
     private static final Path HASHES = Path.of("src", "test", "resources", "golden");
--- a/src/test/java/quotagateway/policy/golden/GoldenScenario.java
+++ b/src/test/java/quotagateway/policy/golden/GoldenScenario.java
@@ -162,30 +162,33 @@
                 List.of(plan("metered", 400, 600, 0, 0), plan("free", 0, 0, 0, 0)));
     }
 
-    /** A few endpoints under several times the load that they bear. */
+    /**
+     * Endpoints that are nearly always slow, and many more requests than they may get: limits of concurrency stay about
+     * one, and events are so dense that one falls between two nearly equal times.
+     */
     static GoldenScenario overload() {
         return new GoldenScenario(
                 "overload",
                 14,
-                30,
+                25,
                 false,
                 2,
                 2,
-                8,
+                16,
                 2,
-                1,
-                6,
-                30,
-                3000,
+                8,
+                8,
+                190,
+                15_000,
                 3000,
                 3,
                 2000,
                 4,
-                1500,
+                700,
                 false,
                 false,
                 1,
-                List.of(IDEMPOTENT, ONCE),
+                List.of(IDEMPOTENT),
                 List.of(plan("free", 0, 0, 0, 0)));
     }
 
