--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -71,22 +71,23 @@
     }
 
     private void point(int size) throws Exception {
-        EventLoopGroup peers = Loops.one();
-        EventLoopGroup clients = Loops.one();
-        Servers all = new Servers(listed, 1);
+        EventLoopGroup peers = StandInLoops.one();
+        EventLoopGroup clients = StandInLoops.one();
+        EndpointInventory all = new EndpointInventory(listed, 1);
         List<RealNode> nodes = new ArrayList<>();
-        try (PlaceServers place = new PlaceServers(peers, listed, 0, 1);
+        try (EndpointStandIns place = new EndpointStandIns(peers, listed, 0, 1);
                 CounterStandIn counter = new CounterStandIn(peers, 0, 1e4, 0);
-                AgentStandIn agent =
-                        new AgentStandIn(peers, 0, all, place::dial, new AgentStandIn.Form(false, false), seed)) {
+                DiscoveryStandIn agent = new DiscoveryStandIn(
+                        peers, 0, all, place::dial, new DiscoveryStandIn.ListFormat(false, false), seed)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                nodes.add(RealNode.start(root, Site.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
+                nodes.add(RealNode.start(
+                        root, ScaleSettings.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
                 addresses.add(nodes.get(i).address);
                 inTimeNow();
             }
-            LoadDriver load =
-                    new LoadDriver(clients, addresses, size, new Customers(1000, Customers.SKEW), rate * size, seed);
+            LoadDriver load = new LoadDriver(
+                    clients, addresses, size, new CustomerPopulation(1000, CustomerPopulation.SKEW), rate * size, seed);
             load.start();
             Thread.sleep(SETTLED);
             Histogram times = new Histogram(3);
@@ -107,7 +108,7 @@
     }
 
     /** From the agent's word to the last request that the server got after it (us); 0 where none came. */
-    private long change(PlaceServers place, AgentStandIn agent, int server) throws InterruptedException {
+    private long change(EndpointStandIns place, DiscoveryStandIn agent, int server) throws InterruptedException {
         long told = System.nanoTime();
         agent.change(Set.of(server), EndpointState.DRAINING, 0);
         Thread.sleep(pause);
--- a/src/main/java/quotagateway/scale/CounterStandIn.java
+++ b/src/main/java/quotagateway/scale/CounterStandIn.java
@@ -38,9 +38,9 @@
             throws InterruptedException {
         perCall = Math.round(1e9 / perSecond);
         delay = Math.round(delayMs * 1e6);
-        listener = Loops.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), () -> {
-            List<ChannelHandler> handlers = Loops.resp();
-            handlers.add(new Answers() {
+        listener = StandInLoops.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), () -> {
+            List<ChannelHandler> handlers = StandInLoops.resp();
+            handlers.add(new RespStandInHandler() {
                 @Override
                 public void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer) {
                     call(ctx, words, answer);
@@ -51,7 +51,7 @@
     }
 
     public int port() {
-        return Loops.port(listener);
+        return StandInLoops.port(listener);
     }
 
     private void call(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer) {
@@ -81,7 +81,7 @@
         free = Math.max(free, now) + perCall;
         ctx.executor()
                 .schedule(
-                        () -> answer.accept(Loops.bulk(add(words.get(1), amount, life))),
+                        () -> answer.accept(StandInLoops.bulk(add(words.get(1), amount, life))),
                         free - now + delay,
                         TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/quotagateway/scale/Customers.java
+++ b/src/main/java/quotagateway/scale/CustomerPopulation.java
@@ -4,14 +4,14 @@
 import java.util.SplittableRandom;
 
 /** Uneven demand: the customer of rank k asks in proportion to 1 / k^skew, as traffic by customer does. */
-final class Customers {
+final class CustomerPopulation {
     /** Between even (0) and one that has nearly all (above 1). */
     static final double SKEW = 0.6;
 
     private final String[] names;
     private final double[] upTo;
 
-    Customers(int size, double skew) {
+    CustomerPopulation(int size, double skew) {
         names = new String[size];
         upTo = new double[size];
         double sum = 0;
--- a/src/main/java/quotagateway/scale/AgentStandIn.java
+++ b/src/main/java/quotagateway/scale/DiscoveryStandIn.java
@@ -41,9 +41,9 @@
  * Discovery's agent: the whole list, and watches with the changes; lists of any size, whole or torn, indented
  * or not. It falls silent on demand. All of its state lives on one loop.
  */
-public final class AgentStandIn implements AutoCloseable {
+public final class DiscoveryStandIn implements AutoCloseable {
     /** How lists are written. */
-    public record Form(boolean torn, boolean indented) {}
+    public record ListFormat(boolean torn, boolean indented) {}
 
     private static final String PATH = "/catalog/members";
     private static final long BEAT = 2;
@@ -55,9 +55,9 @@
     private final EventLoopGroup group;
     private final Channel listener;
     private final ChannelGroup watches;
-    private final Servers servers;
+    private final EndpointInventory servers;
     private final IntFunction<String> dial;
-    private final Form form;
+    private final ListFormat form;
     private final SplittableRandom random;
     /** The changes since version 1, in their order; a watch may begin at any of them. */
     private final List<Integer> changed = new ArrayList<>();
@@ -68,7 +68,13 @@
     private boolean silent;
     final AtomicLong bytes = new AtomicLong();
 
-    public AgentStandIn(EventLoopGroup group, int port, Servers servers, IntFunction<String> dial, Form form, long seed)
+    public DiscoveryStandIn(
+            EventLoopGroup group,
+            int port,
+            EndpointInventory servers,
+            IntFunction<String> dial,
+            ListFormat form,
+            long seed)
             throws InterruptedException {
         this.group = group;
         this.servers = servers;
@@ -79,7 +85,7 @@
         health = new EndpointState[servers.size()];
         java.util.Arrays.fill(health, EndpointState.UP);
         bornMs = new long[servers.size()];
-        listener = Loops.listen(
+        listener = StandInLoops.listen(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 () -> List.of(new HttpServerCodec(), new HttpObjectAggregator(4096), new Asked()));
@@ -87,7 +93,7 @@
     }
 
     public int port() {
-        return Loops.port(listener);
+        return StandInLoops.port(listener);
     }
 
     /** Servers change, in one version; told to all watches. */
--- a/src/main/java/quotagateway/scale/Spread.java
+++ b/src/main/java/quotagateway/scale/Distribution.java
@@ -1,8 +1,8 @@
 package quotagateway.scale;
 
 /** How evenly something lies over servers: mean, the most that one has, and the standard deviation. */
-record Spread(double mean, double least, double most, double deviation) {
-    static Spread of(long[] counts) {
+record Distribution(double mean, double least, double most, double deviation) {
+    static Distribution of(long[] counts) {
         double sum = 0;
         double squares = 0;
         double least = Double.MAX_VALUE;
@@ -14,7 +14,7 @@
             most = Math.max(most, (double) count);
         }
         double mean = sum / counts.length;
-        return new Spread(mean, least, most, Math.sqrt(Math.max(0, squares / counts.length - mean * mean)));
+        return new Distribution(mean, least, most, Math.sqrt(Math.max(0, squares / counts.length - mean * mean)));
     }
 
     void into(Results results, String metric, int nodes, double per, String unit) {
--- a/src/main/java/quotagateway/scale/Servers.java
+++ b/src/main/java/quotagateway/scale/EndpointInventory.java
@@ -6,14 +6,14 @@
 import quotagateway.policy.api.EndpointState;
 
 /** The place servers of a run, by number: names, zones and cells are made once and shared by all nodes. */
-public final class Servers {
+public final class EndpointInventory {
     /** Few servers drop each other's repeats: a cell is a rack's worth at most. */
     private static final int CELL = 8;
 
     private final String[] names;
     private final String[] zones;
 
-    public Servers(int size, int zones) {
+    public EndpointInventory(int size, int zones) {
         names = new String[size];
         this.zones = new String[zones];
         for (int i = 0; i < size; i++) {
--- a/src/main/java/quotagateway/scale/PlaceServers.java
+++ b/src/main/java/quotagateway/scale/EndpointStandIns.java
@@ -17,7 +17,7 @@
  * Place servers by the hundred thousand: hollow ones, each an address of 127/8, before one listener. Their
  * answer tells how long they held the request, so that a client can tell what came on top.
  */
-final class PlaceServers implements AutoCloseable {
+final class EndpointStandIns implements AutoCloseable {
     /** The first server is 127.16.0.0: away from the addresses that a machine uses itself. */
     private static final int FIRST = 127 << 24 | 16 << 16;
 
@@ -31,23 +31,23 @@
     final AtomicIntegerArray open;
     final AtomicLongArray lastGot;
 
-    PlaceServers(EventLoopGroup group, int size, int port, double serviceMs) throws InterruptedException {
+    EndpointStandIns(EventLoopGroup group, int size, int port, double serviceMs) throws InterruptedException {
         Experiment.require(size <= MOST, "at most " + MOST + " place servers have an address");
         this.serviceMs = serviceMs;
         got = new AtomicLongArray(size);
         open = new AtomicIntegerArray(size);
         lastGot = new AtomicLongArray(size);
-        listener = Loops.listen(group, new InetSocketAddress("0.0.0.0", port), this::handlers);
+        listener = StandInLoops.listen(group, new InetSocketAddress("0.0.0.0", port), this::handlers);
     }
 
     private List<ChannelHandler> handlers() {
-        List<ChannelHandler> handlers = Loops.resp();
+        List<ChannelHandler> handlers = StandInLoops.resp();
         handlers.add(new Connection());
         return handlers;
     }
 
     int port() {
-        return Loops.port(listener);
+        return StandInLoops.port(listener);
     }
 
     /** Where a server listens, as discovery tells it. */
@@ -82,7 +82,7 @@
         listener.close().syncUninterruptibly();
     }
 
-    private final class Connection extends Answers {
+    private final class Connection extends RespStandInHandler {
         private int server = -1;
 
         @Override
@@ -120,8 +120,8 @@
             lastGot.set(server, from);
             ctx.executor()
                     .schedule(
-                            () -> answer.accept(
-                                    "*3\r\n" + Loops.bulk("held=" + (System.nanoTime() - from)) + "$-1\r\n$-1\r\n"),
+                            () -> answer.accept("*3\r\n" + StandInLoops.bulk("held=" + (System.nanoTime() - from))
+                                    + "$-1\r\n$-1\r\n"),
                             Math.round(serviceMs * 1e6),
                             TimeUnit.NANOSECONDS);
         }
--- a/src/main/java/quotagateway/scale/Experiment.java
+++ b/src/main/java/quotagateway/scale/Experiment.java
@@ -14,7 +14,7 @@
 /** What all experiments have: a seed, an end in time, progress, and where the figures go. */
 abstract class Experiment implements Callable<Integer> {
     /** Thrown where --max-seconds is over: what is measured until then is kept. */
-    static final class TimeUp extends RuntimeException {
+    static final class TimeLimitException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
@@ -63,7 +63,7 @@
         boolean whole = true;
         try {
             measure();
-        } catch (TimeUp e) {
+        } catch (TimeLimitException e) {
             whole = false;
             System.err.println("stopped: --max-seconds " + maxSeconds + " are over, not all points are measured");
         }
@@ -84,7 +84,7 @@
 
     static void require(boolean holds, String what) {
         if (!holds) {
-            throw new Refused(what);
+            throw new RunNotPossibleException(what);
         }
     }
 
@@ -95,13 +95,13 @@
     /** Ends the run where its time is over. */
     void inTime() {
         if (++events % EVENTS == 0 && System.nanoTime() > end) {
-            throw new TimeUp();
+            throw new TimeLimitException();
         }
     }
 
     void inTimeNow() {
         if (System.nanoTime() > end) {
-            throw new TimeUp();
+            throw new TimeLimitException();
         }
     }
 
--- a/src/main/java/quotagateway/scale/FleetExperiment.java
+++ b/src/main/java/quotagateway/scale/FleetExperiment.java
@@ -8,7 +8,7 @@
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Connections and load a server, and counter calls, over the number of hollow nodes")
-final class FleetExperiment extends FleetRun {
+final class FleetExperiment extends SimulatedFleetExperiment {
     /** Rates are learnt and first lists have come by then (virtual ms). */
     private static final double SETTLED = 5000;
 
@@ -47,7 +47,7 @@
 
     /** Calls to the counter and latency need nodes that meet: they are not told here. */
     private void lone(int size) throws Exception {
-        LoneNodes nodes = new LoneNodes(shape, size, seed, seconds);
+        IndependentNodes nodes = new IndependentNodes(shape, size, seed, seconds);
         nodes.run(threads, () -> {
             inTimeNow();
             progress(nodes.progress());
@@ -56,13 +56,13 @@
     }
 
     private void spread(int size, long[] connections, long[] kept, long[] load) {
-        Spread.of(connections).into(results, "fleet.connections_per_server", size, 1, "connections");
-        Spread.of(kept).into(results, "fleet.connections_per_node", size, 1, "connections");
-        Spread.of(load).into(results, "fleet.requests_per_server_s", size, seconds, "1/s");
+        Distribution.of(connections).into(results, "fleet.connections_per_server", size, 1, "connections");
+        Distribution.of(kept).into(results, "fleet.connections_per_node", size, 1, "connections");
+        Distribution.of(load).into(results, "fleet.requests_per_server_s", size, seconds, "1/s");
     }
 
     private void together(int size) {
-        Fleet fleet = started(size, SETTLED);
+        SimulatedFleet fleet = started(size, SETTLED);
         long[] before = got(fleet);
         long calls = fleet.counter.calls;
         long arrivals = fleet.arrivals();
@@ -98,7 +98,7 @@
         }
     }
 
-    private static long[] got(Fleet fleet) {
+    private static long[] got(SimulatedFleet fleet) {
         long[] got = new long[fleet.hosts.length];
         for (int i = 0; i < got.length; i++) {
             got[i] = fleet.hosts[i].got;
--- a/src/main/java/quotagateway/scale/Shape.java
+++ b/src/main/java/quotagateway/scale/FleetOptions.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Option;
 
 /** What a fleet of hollow nodes is like; options of all experiments that have one. */
-final class Shape {
+final class FleetOptions {
     @Option(
             names = "--servers-per-node",
             defaultValue = "24.4",
@@ -83,8 +83,8 @@
         return (int) Math.max(10, Math.round(nodes * customersPerNode));
     }
 
-    HollowServer.Kind kind() {
-        return new HollowServer.Kind(slots, queue, service);
+    SimulatedEndpoint.Capacity kind() {
+        return new SimulatedEndpoint.Capacity(slots, queue, service);
     }
 
     void check() {
--- a/src/main/java/quotagateway/scale/LoneNodes.java
+++ b/src/main/java/quotagateway/scale/IndependentNodes.java
@@ -22,17 +22,17 @@
  * A fleet too large for one memory, one hollow node after another: each sees the whole list and load of its
  * own, and servers that answer without a queue. What lies on a server is summed over all; nodes don't meet.
  */
-final class LoneNodes {
+final class IndependentNodes {
     /** Rates are learnt, and a node has its set, by then (virtual ms). */
     private static final double SETTLED = 3000;
 
     private static final double STEP = 100;
 
-    private final Shape shape;
+    private final FleetOptions shape;
     private final int size;
     private final long seed;
     private final int seconds;
-    private final Servers servers;
+    private final EndpointInventory servers;
     private final List<EndpointDescriptor> whole;
     private final PolicySettings first;
     final AtomicLongArray connections;
@@ -40,14 +40,14 @@
     final long[] kept;
     private final AtomicInteger done = new AtomicInteger();
 
-    LoneNodes(Shape shape, int size, long seed, int seconds) {
+    IndependentNodes(FleetOptions shape, int size, long seed, int seconds) {
         this.shape = shape;
         this.size = size;
         this.seed = seed;
         this.seconds = seconds;
-        servers = new Servers(shape.servers(size), shape.zones);
+        servers = new EndpointInventory(shape.servers(size), shape.zones);
         whole = servers.whole();
-        first = Site.settings(null, 0, size, shape.zones);
+        first = ScaleSettings.settings(null, 0, size, shape.zones);
         connections = new AtomicLongArray(servers.size());
         load = new AtomicLongArray(servers.size());
         kept = new long[size];
@@ -99,13 +99,13 @@
     }
 
     private void one(int rank) {
-        VirtualClock clock = new VirtualClock(Fleet.START);
+        VirtualClock clock = new VirtualClock(SimulatedFleet.START);
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + rank);
         Map<Long, Double> totals = new HashMap<>();
         boolean[] measured = new boolean[1];
-        HollowNode.Peers peers = new HollowNode.Peers() {
+        SimulatedNode.Peers peers = new SimulatedNode.Peers() {
             @Override
-            public void attempt(HollowNode node, HollowNode.Attempt a) {
+            public void attempt(SimulatedNode node, SimulatedNode.Attempt a) {
                 if (measured[0]) {
                     load.incrementAndGet(a.server);
                 }
@@ -113,16 +113,18 @@
             }
 
             @Override
-            public void count(HollowNode node, long name, double amount) {
+            public void count(SimulatedNode node, long name, double amount) {
                 double total = totals.merge(name, amount, Double::sum);
                 int life = node.life();
                 clock.after(shape.counterWay, () -> node.counted(life, name, CallOutcome.OK, shape.counterWay, total));
             }
         };
-        HollowNode node = new HollowNode(Site.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
+        SimulatedNode node = new SimulatedNode(
+                ScaleSettings.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
         node.start(random.nextLong());
         node.servers(whole, true);
-        Customers customers = new Customers((int) Math.max(10, shape.customersPerNode * Site.SPREAD), Customers.SKEW);
+        CustomerPopulation customers = new CustomerPopulation(
+                (int) Math.max(10, shape.customersPerNode * ScaleSettings.SPREAD), CustomerPopulation.SKEW);
         next(clock, random, node, customers, new long[1]);
         run(clock, SETTLED);
         measured[0] = true;
@@ -138,17 +140,18 @@
         }
     }
 
-    private void next(VirtualClock clock, SplittableRandom random, HollowNode node, Customers customers, long[] ids) {
+    private void next(
+            VirtualClock clock, SplittableRandom random, SimulatedNode node, CustomerPopulation customers, long[] ids) {
         clock.after(-1000 / shape.rate * Math.log(1 - random.nextDouble()), () -> {
             next(clock, random, node, customers, ids);
             node.arrive(new IncomingRequest(
                     ++ids[0],
-                    Site.type(random.nextDouble()),
-                    Site.PLAN,
+                    ScaleSettings.type(random.nextDouble()),
+                    ScaleSettings.PLAN,
                     customers.name(customers.pick(random)),
-                    Site.DEADLINE,
+                    ScaleSettings.DEADLINE,
                     1,
-                    Math.min(size, Site.SPREAD),
+                    Math.min(size, ScaleSettings.SPREAD),
                     node.rank,
                     false));
         });
--- a/src/main/java/quotagateway/scale/Fit.java
+++ b/src/main/java/quotagateway/scale/LinearFit.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** A straight line by least squares; the residual is the root mean square error, in the unit of y. */
-record Fit(double slope, double intercept, double residual) {
+record LinearFit(double slope, double intercept, double residual) {
     /** Fewer points than this make no slope: any three lie near some line. */
     static final int LEAST = 4;
 
     /** Null where there are too few points, or all at one x. */
-    static Fit of(List<double[]> points) {
+    static LinearFit of(List<double[]> points) {
         int n = points.size();
         double meanX = points.stream().mapToDouble(p -> p[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(p -> p[1]).average().orElse(0);
@@ -26,6 +26,6 @@
         double squares = points.stream()
                 .mapToDouble(p -> Math.pow(p[1] - intercept - slope * p[0], 2))
                 .sum();
-        return new Fit(slope, intercept, Math.sqrt(squares / n));
+        return new LinearFit(slope, intercept, Math.sqrt(squares / n));
     }
 }
--- a/src/main/java/quotagateway/scale/LoadDriver.java
+++ b/src/main/java/quotagateway/scale/LoadDriver.java
@@ -29,12 +29,12 @@
     private static final double LONGEST_US = 60e6;
 
     /** A request that is to go to a node at a time (ns). */
-    private record Asked(Target target, String command, long intended) {}
+    private record ScheduledRequest(Target target, String command, long intended) {}
 
     private static final class Target {
         final InetSocketAddress address;
         final ArrayDeque<Channel> idle = new ArrayDeque<>();
-        final ArrayDeque<Asked> waiting = new ArrayDeque<>();
+        final ArrayDeque<ScheduledRequest> waiting = new ArrayDeque<>();
         int connections;
 
         Target(InetSocketAddress address) {
@@ -43,11 +43,11 @@
     }
 
     /** What has become of the requests since the last time. */
-    record Figures(long asked, long served, long refused, long failed, Histogram added) {}
+    record LoadCounts(long asked, long served, long refused, long failed, Histogram added) {}
 
     private final EventLoopGroup group;
     private final List<Target> targets;
-    private final Customers customers;
+    private final CustomerPopulation customers;
     private final SplittableRandom random;
     private final double rate;
     private final int fleet;
@@ -65,7 +65,7 @@
             EventLoopGroup group,
             List<InetSocketAddress> nodes,
             int fleet,
-            Customers customers,
+            CustomerPopulation customers,
             double rate,
             long seed) {
         this.fleet = fleet;
@@ -92,9 +92,9 @@
     }
 
     /** What has happened since the last call. */
-    Figures take() throws Exception {
+    LoadCounts take() throws Exception {
         return group.submit(() -> {
-                    Figures now = new Figures(asked, served, refused, failed, added);
+                    LoadCounts now = new LoadCounts(asked, served, refused, failed, added);
                     asked = served = refused = failed = 0;
                     added = new Histogram(3);
                     return now;
@@ -116,18 +116,19 @@
     private void ask(long intended) {
         int customer = customers.pick(random);
         boolean all = targets.size() == fleet;
-        int first = all ? Customers.first(customer, fleet) : 0;
-        int spread = Math.min(fleet, Site.SPREAD);
+        int first = all ? CustomerPopulation.first(customer, fleet) : 0;
+        int spread = Math.min(fleet, ScaleSettings.SPREAD);
         Target target = targets.get((first + random.nextInt(spread)) % targets.size());
-        String type = Site.type(random.nextDouble());
+        String type = ScaleSettings.type(random.nextDouble());
         String id = String.format("%016x", ++ids);
-        String list = "c=" + type + ",t=" + Site.PLAN + ",d=" + Math.round(Site.DEADLINE)
-                + (type.equals(Site.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first=" + first;
-        String command = type.equals(Site.READ)
-                ? Loops.command("CALL.GET", customers.name(customer), id, list)
-                : Loops.command("CALL.POST", customers.name(customer), id, list, "body");
+        String list = "c=" + type + ",t=" + ScaleSettings.PLAN + ",d=" + Math.round(ScaleSettings.DEADLINE)
+                + (type.equals(ScaleSettings.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first="
+                + first;
+        String command = type.equals(ScaleSettings.READ)
+                ? StandInLoops.command("CALL.GET", customers.name(customer), id, list)
+                : StandInLoops.command("CALL.POST", customers.name(customer), id, list, "body");
         asked++;
-        Asked a = new Asked(target, command, intended);
+        ScheduledRequest a = new ScheduledRequest(target, command, intended);
         Channel idle = target.idle.poll();
         if (idle != null) {
             send(idle, a);
@@ -136,7 +137,12 @@
         target.waiting.add(a);
         if (target.connections < CONNECTIONS) {
             target.connections++;
-            Loops.connect(group, target.address, new RedisDecoder(), new RedisBulkStringAggregator(), new Line(target))
+            StandInLoops.connect(
+                            group,
+                            target.address,
+                            new RedisDecoder(),
+                            new RedisBulkStringAggregator(),
+                            new ClientConnection(target))
                     .addListener(f -> {
                         if (!f.isSuccess()) {
                             target.connections--;
@@ -153,16 +159,16 @@
         }
     }
 
-    private static void send(Channel to, Asked a) {
-        to.pipeline().get(Line.class).out = a;
+    private static void send(Channel to, ScheduledRequest a) {
+        to.pipeline().get(ClientConnection.class).out = a;
         to.writeAndFlush(ByteBufUtil.writeAscii(to.alloc(), a.command));
     }
 
-    private final class Line extends SimpleChannelInboundHandler<RedisMessage> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<RedisMessage> {
         private final Target target;
-        private Asked out;
+        private ScheduledRequest out;
 
-        Line(Target target) {
+        ClientConnection(Target target) {
             this.target = target;
         }
 
@@ -172,7 +178,7 @@
         }
 
         private void free(Channel channel) {
-            Asked next = target.waiting.poll();
+            ScheduledRequest next = target.waiting.poll();
             if (next != null) {
                 send(channel, next);
             } else {
@@ -182,7 +188,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
-            Asked a = out;
+            ScheduledRequest a = out;
             if (a == null) {
                 return; // no request of ours
             }
--- a/src/main/java/quotagateway/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -76,19 +76,19 @@
     int pointSeconds;
 
     /** One module with its load. */
-    private final class Load implements HollowNode.Peers {
+    private final class Load implements SimulatedNode.Peers {
         final VirtualClock clock = new VirtualClock(START);
         final CpuMeter meter = new CpuMeter();
         final Histogram latency = new Histogram(3);
-        final Customers asking;
+        final CustomerPopulation asking;
         final SplittableRandom random = new SplittableRandom(seed);
         final Map<Long, Double> totals = new HashMap<>();
-        final HollowNode node;
+        final SimulatedNode node;
         long requests;
 
         Load(int customers) {
-            asking = new Customers(customers, Customers.SKEW);
-            node = new HollowNode(Site.settings(null, 0, nodes, zones), clock, this, latency);
+            asking = new CustomerPopulation(customers, CustomerPopulation.SKEW);
+            node = new SimulatedNode(ScaleSettings.settings(null, 0, nodes, zones), clock, this, latency);
             node.start(seed);
         }
 
@@ -98,12 +98,12 @@
                 int customer = asking.pick(random);
                 node.arrive(new IncomingRequest(
                         ++requests,
-                        Site.type(random.nextDouble()),
-                        Site.PLAN,
+                        ScaleSettings.type(random.nextDouble()),
+                        ScaleSettings.PLAN,
                         asking.name(customer),
-                        Site.DEADLINE,
+                        ScaleSettings.DEADLINE,
                         1,
-                        Math.min(nodes, Site.SPREAD),
+                        Math.min(nodes, ScaleSettings.SPREAD),
                         0,
                         false));
             });
@@ -118,12 +118,12 @@
         }
 
         @Override
-        public void attempt(HollowNode from, HollowNode.Attempt a) {
+        public void attempt(SimulatedNode from, SimulatedNode.Attempt a) {
             clock.after(-service * Math.log(1 - random.nextDouble()), () -> from.ended(a, CallOutcome.OK));
         }
 
         @Override
-        public void count(HollowNode from, long name, double amount) {
+        public void count(SimulatedNode from, long name, double amount) {
             double total = totals.merge(name, amount, Double::sum);
             int life = from.life();
             clock.after(1, () -> from.counted(life, name, CallOutcome.OK, 1, total));
@@ -138,7 +138,7 @@
                 rate > 0 && nodes > 0 && zones > 0 && service > 0 && seconds > 0 && pointSeconds > 0,
                 "--rate, --nodes, --zones, --service-ms, --seconds and --point-seconds have to be above 0");
         Load warm = new Load(customers.get(0));
-        warm.node.servers(new Servers(sizes.get(0), zones).whole(), true);
+        warm.node.servers(new EndpointInventory(sizes.get(0), zones).whole(), true);
         warm.next();
         while (warm.requests < WARM) {
             warm.run(STEP, 1);
@@ -158,7 +158,7 @@
 
     private void cost(int size, int many, String x, int at) {
         Load load = new Load(many);
-        Servers servers = new Servers(size, zones);
+        EndpointInventory servers = new EndpointInventory(size, zones);
         load.node.servers(servers.whole(), true);
         load.next();
         load.run(2 * STEP, pointSeconds / 4.0);
@@ -174,7 +174,7 @@
     }
 
     /** Servers begin to drain and come back, one a change. */
-    private void changes(Load load, Servers servers, String x, int at) {
+    private void changes(Load load, EndpointInventory servers, String x, int at) {
         load.meter.take();
         for (int i = 0; i < CHANGES; i++) {
             int server = load.random.nextInt(servers.size());
@@ -196,10 +196,10 @@
         int copies = Math.max(1, Math.min(MODULES_MOST, ENTRIES / size));
         double[] told = new double[3];
         for (int round = 0; round < told.length; round++) {
-            List<HollowNode> kept = new ArrayList<>();
+            List<SimulatedNode> kept = new ArrayList<>();
             for (int i = 0; i < copies; i++) {
                 Load load = new Load(1);
-                load.node.servers(new Servers(size, zones).whole(), true);
+                load.node.servers(new EndpointInventory(size, zones).whole(), true);
                 kept.add(load.node);
             }
             long with;
@@ -219,21 +219,21 @@
     private void customers(int size, int many) {
         cost(size, many, "customers", many);
         Load load = new Load(many);
-        load.node.servers(new Servers(size, zones).whole(), true);
+        load.node.servers(new EndpointInventory(size, zones).whole(), true);
         for (int i = 0; i < many; i++) { // all of them within the time that idle ones are kept
             load.clock.to(load.clock.now() + 10_000.0 / many, this::inTime);
             load.node.arrive(new IncomingRequest(
                     i,
-                    Site.READ,
-                    Site.PLAN,
+                    ScaleSettings.READ,
+                    ScaleSettings.PLAN,
                     load.asking.name(i),
-                    Site.DEADLINE,
+                    ScaleSettings.DEADLINE,
                     1,
-                    Math.min(nodes, Site.SPREAD),
+                    Math.min(nodes, ScaleSettings.SPREAD),
                     0,
                     false));
         }
-        load.clock.to(load.clock.now() + 2 * Site.DEADLINE, this::inTime);
+        load.clock.to(load.clock.now() + 2 * ScaleSettings.DEADLINE, this::inTime);
         load.totals.clear(); // the counter's, not the node's
         long with = used();
         load.node.kill();
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -142,17 +142,22 @@
     private void point(String x, int at, int listed, int rate, int asking, int changing) throws Exception {
         progress(x + " " + at);
         inTimeNow();
-        EventLoopGroup peers = Loops.one();
-        EventLoopGroup clients = Loops.one();
-        Servers all = new Servers(listed, zones);
-        try (PlaceServers place = new PlaceServers(peers, listed, serverPort, service);
+        EventLoopGroup peers = StandInLoops.one();
+        EventLoopGroup clients = StandInLoops.one();
+        EndpointInventory all = new EndpointInventory(listed, zones);
+        try (EndpointStandIns place = new EndpointStandIns(peers, listed, serverPort, service);
                 CounterStandIn counter = new CounterStandIn(peers, 0, counterRate, counterDelay);
-                AgentStandIn agent =
-                        new AgentStandIn(peers, 0, all, place::dial, new AgentStandIn.Form(torn, indented), seed);
-                RealNode node =
-                        RealNode.start(root, Site.keys(0, nodes, zones), "null", agent.port(), counter.port(), seed)) {
+                DiscoveryStandIn agent = new DiscoveryStandIn(
+                        peers, 0, all, place::dial, new DiscoveryStandIn.ListFormat(torn, indented), seed);
+                RealNode node = RealNode.start(
+                        root, ScaleSettings.keys(0, nodes, zones), "null", agent.port(), counter.port(), seed)) {
             LoadDriver load = new LoadDriver(
-                    clients, List.of(node.address), nodes, new Customers(asking, Customers.SKEW), rate, seed);
+                    clients,
+                    List.of(node.address),
+                    nodes,
+                    new CustomerPopulation(asking, CustomerPopulation.SKEW),
+                    rate,
+                    seed);
             results.add("node.ready", x, at, node.readySeconds, "s");
             results.add("node.list_bytes", x, at, agent.whole().length, "bytes");
             load.start();
@@ -166,7 +171,7 @@
             await(node, seconds * (int) MS);
             double lasted = (System.nanoTime() - from) / 1e9;
             double used = node.cpuMicros() - cpu;
-            LoadDriver.Figures told = load.take();
+            LoadDriver.LoadCounts told = load.take();
             if (ticking != null) {
                 ticking.cancel(false);
             }
@@ -180,7 +185,7 @@
             results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.asked()), "share");
             latency("node.added", x, at, told.added());
             load.stop();
-        } catch (RealNode.NotReady e) {
+        } catch (RealNode.NodeNotReadyException e) {
             System.err.println(x + " " + at + ": " + e.getMessage());
             results.add("node.served_share", x, at, 0, "share");
         } finally {
@@ -200,7 +205,7 @@
     }
 
     /** Servers drain and come back by turns. */
-    private Future<?> changes(EventLoopGroup group, AgentStandIn agent, Servers all, int perSecond) {
+    private Future<?> changes(EventLoopGroup group, DiscoveryStandIn agent, EndpointInventory all, int perSecond) {
         SplittableRandom random = new SplittableRandom(seed);
         int[] last = {-1};
         return group.scheduleAtFixedRate(
--- a/src/main/java/quotagateway/scale/NodeLaunch.java
+++ b/src/main/java/quotagateway/scale/NodeLaunch.java
@@ -33,11 +33,12 @@
     static String run(Path root) throws IOException {
         Path deploy = root.resolve(DEPLOY);
         if (!Files.isReadable(deploy)) {
-            throw new Refused("no " + deploy + ": start it in the repository's folder, or name it with --root");
+            throw new RunNotPossibleException(
+                    "no " + deploy + ": start it in the repository's folder, or name it with --root");
         }
         Matcher run = RUN.matcher(Files.readString(deploy));
         if (!run.find()) {
-            throw new Refused("no run line in " + deploy);
+            throw new RunNotPossibleException("no run line in " + deploy);
         }
         return run.group(1).replace("\\\"", "\"").replace("\\\\", "\\");
     }
--- a/src/main/java/quotagateway/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -12,7 +12,7 @@
         name = "ramp",
         mixinStandardHelpOptions = true,
         description = "The sums that cold servers get of all hollow nodes, over every window of the settings")
-final class RampExperiment extends FleetRun {
+final class RampExperiment extends SimulatedFleetExperiment {
     private static final double SETTLED = 6000;
 
     @Option(
@@ -34,7 +34,7 @@
 
     @Override
     void point(int size) {
-        Fleet fleet = started(size, SETTLED);
+        SimulatedFleet fleet = started(size, SETTLED);
         long[] before = new long[fleet.hosts.length];
         List<EndpointDescriptor> entries = new ArrayList<>();
         int cold = (int) Math.max(1, part * fleet.hosts.length);
@@ -52,12 +52,12 @@
         for (int i = 0; i < (int) (restarted * size); i++) {
             fleet.restart(fleet.nodes[i], 1000, entries);
         }
-        run(fleet, Site.WARM_AFTER - shape.notice[1]);
+        run(fleet, ScaleSettings.WARM_AFTER - shape.notice[1]);
         tell(fleet, size, before, began + shape.notice[1]);
     }
 
     /** The fullest window of each server that was cold, of those in which all nodes knew. */
-    private void tell(Fleet fleet, int size, long[] before, double told) {
+    private void tell(SimulatedFleet fleet, int size, long[] before, double told) {
         double worst = 0;
         double mean = 0;
         int over = 0;
@@ -65,7 +65,7 @@
         double coldGot = 0;
         double warmGot = 0;
         for (int i = 0; i < before.length; i++) {
-            HollowServer host = fleet.hosts[i];
+            SimulatedEndpoint host = fleet.hosts[i];
             if (host.sinceCold == null) {
                 warmGot += host.got - before[i];
                 continue;
@@ -89,7 +89,7 @@
     }
 
     /** The most of its budget that a window had, and by how much one went beyond budget and chance. */
-    private static double[] fullest(HollowServer host, double told) {
+    private static double[] fullest(SimulatedEndpoint host, double told) {
         double[] times = host.sinceCold.stream()
                 .mapToDouble(t -> t)
                 .filter(t -> t >= told)
@@ -97,10 +97,10 @@
         double most = 0;
         double beyond = 0;
         for (int from = 0, to = 0; from < times.length; from++) {
-            while (to < times.length && times[to] < times[from] + Site.OVERLOAD_FOR) {
+            while (to < times.length && times[to] < times[from] + ScaleSettings.OVERLOAD_FOR) {
                 to++;
             }
-            double budget = host.budget(times[from], Site.OVERLOAD_FOR);
+            double budget = host.budget(times[from], ScaleSettings.OVERLOAD_FOR);
             most = Math.max(most, (to - from) / budget);
             beyond = Math.max(beyond, to - from - budget - 2 * Math.sqrt(budget) - 2);
         }
--- a/src/main/java/quotagateway/scale/RealNode.java
+++ b/src/main/java/quotagateway/scale/RealNode.java
@@ -24,10 +24,10 @@
     private static final int END_SECONDS = 6;
 
     /** It runs but never answers: a figure of its own, where other sizes work. */
-    static final class NotReady extends Refused {
+    static final class NodeNotReadyException extends RunNotPossibleException {
         private static final long serialVersionUID = 1L;
 
-        NotReady(String what) {
+        NodeNotReadyException(String what) {
             super(what);
         }
     }
@@ -78,12 +78,12 @@
             if (!process.isAlive()) {
                 String told = log();
                 close();
-                throw new Refused("the edge node has ended at once: " + told);
+                throw new RunNotPossibleException("the edge node has ended at once: " + told);
             }
             try (Socket ping = new Socket()) {
                 ping.connect(address, 1000);
                 ping.setSoTimeout(1000);
-                ping.getOutputStream().write(Loops.command("PING").getBytes(StandardCharsets.US_ASCII));
+                ping.getOutputStream().write(StandInLoops.command("PING").getBytes(StandardCharsets.US_ASCII));
                 if (ping.getInputStream().read() == '+') {
                     return;
                 }
@@ -94,7 +94,7 @@
             }
         }
         close();
-        throw new NotReady("the edge node is not ready within " + READY_SECONDS + " s");
+        throw new NodeNotReadyException("the edge node is not ready within " + READY_SECONDS + " s");
     }
 
     boolean alive() {
--- a/src/main/java/quotagateway/scale/RegionsExperiment.java
+++ b/src/main/java/quotagateway/scale/RegionsExperiment.java
@@ -8,7 +8,7 @@
         name = "regions",
         mixinStandardHelpOptions = true,
         description = "What is served while regions are apart, and after they meet again")
-final class RegionsExperiment extends FleetRun {
+final class RegionsExperiment extends SimulatedFleetExperiment {
     private static final double SETTLED = 8000;
 
     @Option(
@@ -25,7 +25,7 @@
 
     @Override
     void point(int size) {
-        Fleet fleet = started(size, SETTLED);
+        SimulatedFleet fleet = started(size, SETTLED);
         part(fleet, size, "regions.before");
         fleet.apart(true);
         part(fleet, size, "regions.apart");
@@ -33,7 +33,7 @@
         part(fleet, size, "regions.after");
     }
 
-    private void part(Fleet fleet, int size, String metric) {
+    private void part(SimulatedFleet fleet, int size, String metric) {
         long served = fleet.served();
         long ended = fleet.ended();
         long calls = fleet.counter.calls;
--- a/src/main/java/quotagateway/scale/Answers.java
+++ b/src/main/java/quotagateway/scale/RespStandInHandler.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** One RESP connection of a stand-in: commands are begun as they come and answered in their order. */
-public abstract class Answers extends ChannelInboundHandlerAdapter {
+public abstract class RespStandInHandler extends ChannelInboundHandlerAdapter {
     private final ArrayDeque<String[]> owed = new ArrayDeque<>();
 
     /** Takes a command; answers on the loop, now or later, or never. */
@@ -18,7 +18,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        List<String> words = Loops.words(message);
+        List<String> words = StandInLoops.words(message);
         ReferenceCountUtil.release(message);
         String[] slot = new String[1];
         owed.add(slot);
--- a/src/main/java/quotagateway/scale/Results.java
+++ b/src/main/java/quotagateway/scale/Results.java
@@ -36,7 +36,7 @@
 
     void printFits() {
         rows.forEach((m, points) -> {
-            Fit fit = Fit.of(points);
+            LinearFit fit = LinearFit.of(points);
             if (points.size() < 2) {
                 return; // shown already
             }
@@ -66,7 +66,7 @@
     private String csv() {
         StringBuilder text = new StringBuilder();
         rows.forEach((m, points) -> {
-            Fit fit = Fit.of(points);
+            LinearFit fit = LinearFit.of(points);
             if (points.size() < 2) {
                 return; // shown already
             }
@@ -110,7 +110,7 @@
             json.writeEndArray();
         }
         json.writeEndArray();
-        Fit fit = Fit.of(points);
+        LinearFit fit = LinearFit.of(points);
         if (fit != null) {
             json.writeObjectFieldStart("fit");
             json.writeFieldName("slope");
--- a/src/main/java/quotagateway/scale/Refused.java
+++ b/src/main/java/quotagateway/scale/RunNotPossibleException.java
@@ -1,10 +1,10 @@
 package quotagateway.scale;
 
 /** What the caller or the machine does not allow: told in one line, with exit code 2. */
-public class Refused extends RuntimeException {
+public class RunNotPossibleException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public Refused(String what) {
+    public RunNotPossibleException(String what) {
         super(what);
     }
 }
--- a/src/main/java/quotagateway/scale/ScaleCli.java
+++ b/src/main/java/quotagateway/scale/ScaleCli.java
@@ -38,7 +38,7 @@
         return new CommandLine(new ScaleCli())
                 .setParameterExceptionHandler((e, a) -> refuse(e.getMessage()))
                 .setExecutionExceptionHandler((e, c, p) -> {
-                    if (e instanceof Refused || e instanceof IOException) {
+                    if (e instanceof RunNotPossibleException || e instanceof IOException) {
                         return refuse(e.getMessage() == null ? e.toString() : e.getMessage());
                     }
                     e.printStackTrace();
--- a/src/main/java/quotagateway/scale/Site.java
+++ b/src/main/java/quotagateway/scale/ScaleSettings.java
@@ -6,7 +6,7 @@
 import quotagateway.policy.api.PolicySettings;
 
 /** The settings of a run: of no deployment, with each effect, a plan with a quota, and the counter. */
-public final class Site {
+public final class ScaleSettings {
     /** So many nodes share a customer. */
     public static final int SPREAD = 4;
 
@@ -24,7 +24,7 @@
     public static final double DRAIN_GRACE = 250;
     public static final double COUNTER_TIMEOUT = 80;
 
-    private Site() {}
+    private ScaleSettings() {}
 
     /** The class for a number from 0 to 1: half reads, four in ten keyed, the rest not to be repeated. */
     static String type(double chance) {
@@ -36,7 +36,7 @@
         Map<String, String> k = new LinkedHashMap<>();
         k.put("rank", "" + rank);
         k.put("group_size", "" + nodes);
-        k.put("my_zone", Servers.zoneName(rank % zones));
+        k.put("my_zone", EndpointInventory.zoneName(rank % zones));
         k.put("tick", "2");
         k.put("discovery", "pushed");
         k.put("family_info.shared_counter", "true");
@@ -87,7 +87,7 @@
         return new PolicySettings(
                 rank,
                 nodes,
-                Servers.zoneName(rank % zones),
+                EndpointInventory.zoneName(rank % zones),
                 first.tick(),
                 first.mustSubscribe(),
                 first.reportsActualUnits(),
--- a/src/main/java/quotagateway/scale/HollowCounter.java
+++ b/src/main/java/quotagateway/scale/SimulatedCounter.java
@@ -5,7 +5,7 @@
 import quotagateway.policy.api.CallOutcome;
 
 /** The counter on the virtual clock: one line of calls, so many a second, and a way there and back. */
-final class HollowCounter {
+final class SimulatedCounter {
     private final VirtualClock clock;
     private final double perCall;
     private final double way;
@@ -14,19 +14,19 @@
     long calls;
     long late;
 
-    HollowCounter(VirtualClock clock, double perSecond, double way) {
+    SimulatedCounter(VirtualClock clock, double perSecond, double way) {
         this.clock = clock;
         perCall = 1000 / perSecond;
         this.way = way;
     }
 
     /** A call that has its turn too late is added all the same, and its caller waits no longer. */
-    void add(HollowNode from, long name, double amount) {
+    void add(SimulatedNode from, long name, double amount) {
         calls++;
         double asked = clock.now();
         int life = from.life();
         free = Math.max(free, asked + way / 2) + perCall;
-        boolean isLate = free + way / 2 - asked > Site.COUNTER_TIMEOUT;
+        boolean isLate = free + way / 2 - asked > ScaleSettings.COUNTER_TIMEOUT;
         clock.after(free - asked, () -> {
             double total = totals.merge(name, amount, Double::sum);
             if (!isLate) {
@@ -40,8 +40,10 @@
     }
 
     /** A call that is never answered. */
-    void silent(HollowNode from, long name) {
+    void silent(SimulatedNode from, long name) {
         int life = from.life();
-        clock.after(Site.COUNTER_TIMEOUT, () -> from.counted(life, name, CallOutcome.TIMEOUT, Site.COUNTER_TIMEOUT, 0));
+        clock.after(
+                ScaleSettings.COUNTER_TIMEOUT,
+                () -> from.counted(life, name, CallOutcome.TIMEOUT, ScaleSettings.COUNTER_TIMEOUT, 0));
     }
 }
--- a/src/main/java/quotagateway/scale/HollowServer.java
+++ b/src/main/java/quotagateway/scale/SimulatedEndpoint.java
@@ -4,15 +4,15 @@
 import quotagateway.policy.api.CallOutcome;
 
 /** A place server on the virtual clock: slots, a bounded queue, and a slow start after it was cold. */
-final class HollowServer {
-    enum Life {
+final class SimulatedEndpoint {
+    enum Availability {
         UP,
         REFUSES,
         SILENT
     }
 
     /** What it is and can do; shared by all servers of a run. */
-    record Kind(int slots, int queue, double service) {
+    record Capacity(int slots, int queue, double service) {
         /** Requests a second that a warm one can serve. */
         double capacity() {
             return 1000 * slots / service;
@@ -21,19 +21,19 @@
 
     private record Job(double work, Runnable done) {}
 
-    private final Kind kind;
+    private final Capacity kind;
     private final VirtualClock clock;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private int busy;
     private double coldFrom = Double.NEGATIVE_INFINITY;
     private int process;
-    Life life = Life.UP;
+    Availability life = Availability.UP;
     long got;
     double lastGot;
     /** When each attempt came since it was cold; null where it was never so. */
     ArrayDeque<Double> sinceCold;
 
-    HollowServer(Kind kind, VirtualClock clock) {
+    SimulatedEndpoint(Capacity kind, VirtualClock clock) {
         this.kind = kind;
         this.clock = clock;
     }
@@ -45,11 +45,11 @@
         queue.clear();
         coldFrom = clock.now();
         sinceCold = new ArrayDeque<>();
-        life = Life.UP;
+        life = Availability.UP;
     }
 
     /** Ends: silent where its machine vanishes, refusing where only the process is gone. */
-    void end(Life as) {
+    void end(Availability as) {
         process++;
         busy = 0;
         queue.clear();
@@ -59,12 +59,14 @@
     /** The part of its capacity that it has at a time. */
     double speed(double at) {
         double age = at - coldFrom;
-        return age >= Site.WARM_AFTER ? 1 : Site.COLD_SHARE + (1 - Site.COLD_SHARE) * age / Site.WARM_AFTER;
+        return age >= ScaleSettings.WARM_AFTER
+                ? 1
+                : ScaleSettings.COLD_SHARE + (1 - ScaleSettings.COLD_SHARE) * age / ScaleSettings.WARM_AFTER;
     }
 
     /** What falls it over: so many attempts in a window (ms) that began then, by the contract's factor. */
     double budget(double from, double window) {
-        return Site.OVERLOAD_FACTOR * kind.capacity() * speed(from) * window / 1000;
+        return ScaleSettings.OVERLOAD_FACTOR * kind.capacity() * speed(from) * window / 1000;
     }
 
     /** Takes work (ms, as a warm server needs) or turns it away. */
--- a/src/main/java/quotagateway/scale/Fleet.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleet.java
@@ -12,7 +12,7 @@
  * A fleet of hollow nodes on one virtual clock, before hollow servers and one counter. Load is an open loop:
  * requests come when they come, by one seed, uneven over customers.
  */
-final class Fleet implements HollowNode.Peers {
+final class SimulatedFleet implements SimulatedNode.Peers {
     static final double START = 1_700_000_000_000.0;
     /** To a server and back (ms), and until a connection that cannot be made is given up. */
     private static final double WAY = 0.5;
@@ -22,44 +22,44 @@
     private static final double FIRST_LIST = 200;
 
     final VirtualClock clock = new VirtualClock(START);
-    final Shape shape;
-    final Servers servers;
-    final HollowServer[] hosts;
-    final HollowNode[] nodes;
-    final HollowCounter counter;
+    final FleetOptions shape;
+    final EndpointInventory servers;
+    final SimulatedEndpoint[] hosts;
+    final SimulatedNode[] nodes;
+    final SimulatedCounter counter;
     final Histogram latency = new Histogram(3);
     final SplittableRandom random;
-    private final Customers customers;
+    private final CustomerPopulation customers;
     private final Runnable between;
     private final List<EndpointDescriptor> whole;
     private long arrivals;
     private boolean apart;
     private boolean discoverySilent;
 
-    Fleet(Shape shape, int size, long seed, Runnable between) {
+    SimulatedFleet(FleetOptions shape, int size, long seed, Runnable between) {
         this.shape = shape;
         this.between = between;
         random = new SplittableRandom(seed);
-        servers = new Servers(shape.servers(size), shape.zones);
+        servers = new EndpointInventory(shape.servers(size), shape.zones);
         whole = servers.whole();
-        customers = new Customers(shape.customers(size), Customers.SKEW);
-        counter = new HollowCounter(clock, shape.counterRate, shape.counterWay);
-        hosts = new HollowServer[servers.size()];
+        customers = new CustomerPopulation(shape.customers(size), CustomerPopulation.SKEW);
+        counter = new SimulatedCounter(clock, shape.counterRate, shape.counterWay);
+        hosts = new SimulatedEndpoint[servers.size()];
         for (int i = 0; i < hosts.length; i++) {
-            hosts[i] = new HollowServer(shape.kind(), clock);
+            hosts[i] = new SimulatedEndpoint(shape.kind(), clock);
         }
-        nodes = new HollowNode[size];
+        nodes = new SimulatedNode[size];
         PolicySettings first = null;
         for (int i = 0; i < size; i++) {
-            PolicySettings settings = Site.settings(first, i, size, shape.zones);
+            PolicySettings settings = ScaleSettings.settings(first, i, size, shape.zones);
             first = first == null ? settings : first;
-            nodes[i] = new HollowNode(settings, clock, this, latency);
+            nodes[i] = new SimulatedNode(settings, clock, this, latency);
         }
     }
 
     /** All nodes come up, and load begins. */
     void start() {
-        for (HollowNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             node.start(random.nextLong());
             clock.after(FIRST_LIST * random.nextDouble(), () -> node.servers(whole, true));
         }
@@ -73,17 +73,17 @@
     private void next() {
         clock.after(-1000 / (shape.rate * nodes.length) * Math.log(1 - random.nextDouble()), this::next);
         int customer = customers.pick(random);
-        int first = Customers.first(customer, nodes.length);
-        int spread = Math.min(nodes.length, Site.SPREAD);
-        HollowNode node = nodes[(first + random.nextInt(spread)) % nodes.length];
+        int first = CustomerPopulation.first(customer, nodes.length);
+        int spread = Math.min(nodes.length, ScaleSettings.SPREAD);
+        SimulatedNode node = nodes[(first + random.nextInt(spread)) % nodes.length];
         arrivals++;
         if (node.up()) { // the front takes it elsewhere in time; meanwhile it is lost with the node
             node.arrive(new IncomingRequest(
                     arrivals,
-                    Site.type(random.nextDouble()),
-                    Site.PLAN,
+                    ScaleSettings.type(random.nextDouble()),
+                    ScaleSettings.PLAN,
                     customers.name(customer),
-                    Site.DEADLINE,
+                    ScaleSettings.DEADLINE,
                     1,
                     spread,
                     first,
@@ -98,7 +98,7 @@
     /** Requests answered with a value so far. */
     long served() {
         long sum = 0;
-        for (HollowNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             sum += node.served;
         }
         return sum;
@@ -107,7 +107,7 @@
     /** Requests answered in any way, or given up, so far. */
     long ended() {
         long sum = 0;
-        for (HollowNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             sum += node.served + node.refused + node.failed;
         }
         return sum;
@@ -116,7 +116,7 @@
     /** Connections that nodes keep to each server. */
     long[] connections() {
         long[] sum = new long[hosts.length];
-        for (HollowNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             node.kept().stream().forEach(i -> sum[i]++);
         }
         return sum;
@@ -126,7 +126,7 @@
 
     /** A change that each node hears at a time of its own, unless discovery is silent. */
     void change(List<EndpointDescriptor> entries) {
-        for (HollowNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             double delay = shape.notice[0] + (shape.notice[1] - shape.notice[0]) * random.nextDouble();
             clock.after(delay, () -> {
                 if (!discoverySilent) {
@@ -146,7 +146,7 @@
     }
 
     /** Killed together, and back with nothing known after a while; the list and its changes are there. */
-    void restart(HollowNode node, double away, List<EndpointDescriptor> changed) {
+    void restart(SimulatedNode node, double away, List<EndpointDescriptor> changed) {
         node.kill();
         clock.after(away, () -> {
             node.start(random.nextLong());
@@ -155,23 +155,23 @@
         });
     }
 
-    private boolean reach(HollowNode node, int zone) {
+    private boolean reach(SimulatedNode node, int zone) {
         return !apart || node.rank % shape.zones % shape.regions == zone % shape.regions;
     }
 
     // ---- what nodes meet ----
 
     @Override
-    public void attempt(HollowNode node, HollowNode.Attempt a) {
+    public void attempt(SimulatedNode node, SimulatedNode.Attempt a) {
         double work = -shape.service * Math.log(1 - random.nextDouble());
         clock.after(WAY / 2, () -> {
-            HollowServer host = hosts[a.server];
+            SimulatedEndpoint host = hosts[a.server];
             boolean reached = reach(node, servers.zone(a.server));
-            if (!reached || host.life == HollowServer.Life.SILENT) {
+            if (!reached || host.life == SimulatedEndpoint.Availability.SILENT) {
                 clock.after(CONNECT_TIMEOUT, () -> node.ended(a, CallOutcome.NO_CONNECTION));
                 return;
             }
-            CallOutcome at = host.life == HollowServer.Life.REFUSES
+            CallOutcome at = host.life == SimulatedEndpoint.Availability.REFUSES
                     ? CallOutcome.NO_CONNECTION
                     : host.take(work, () -> back(node, a, CallOutcome.OK));
             if (at != null) {
@@ -180,12 +180,12 @@
         });
     }
 
-    private void back(HollowNode node, HollowNode.Attempt a, CallOutcome outcome) {
+    private void back(SimulatedNode node, SimulatedNode.Attempt a, CallOutcome outcome) {
         clock.after(WAY / 2, () -> node.ended(a, outcome));
     }
 
     @Override
-    public void count(HollowNode node, long name, double amount) {
+    public void count(SimulatedNode node, long name, double amount) {
         if (reach(node, 0)) {
             counter.add(node, name, amount);
         } else {
--- a/src/main/java/quotagateway/scale/FleetRun.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
@@ -5,11 +5,11 @@
 import picocli.CommandLine.Option;
 
 /** An experiment on fleets of hollow nodes, a point for each size. */
-abstract class FleetRun extends Experiment {
+abstract class SimulatedFleetExperiment extends Experiment {
     private static final double STEP = 100;
 
     @Mixin
-    Shape shape;
+    FleetOptions shape;
 
     @Option(
             names = "--nodes",
@@ -33,18 +33,18 @@
         }
     }
 
-    Fleet started(int size, double settled) {
-        Fleet fleet = new Fleet(shape, size, seed, this::inTime);
+    SimulatedFleet started(int size, double settled) {
+        SimulatedFleet fleet = new SimulatedFleet(shape, size, seed, this::inTime);
         fleet.start();
         run(fleet, settled);
         return fleet;
     }
 
-    void run(Fleet fleet, double milliseconds) {
+    void run(SimulatedFleet fleet, double milliseconds) {
         for (double left = milliseconds; left > 0; left -= STEP) {
             fleet.run(Math.min(STEP, left));
             progress(fleet.nodes.length + " nodes, " + fleet.servers.size() + " servers, virtual second "
-                    + Math.round((fleet.clock.now() - Fleet.START) / 1000));
+                    + Math.round((fleet.clock.now() - SimulatedFleet.START) / 1000));
         }
     }
 }
--- a/src/main/java/quotagateway/scale/HollowNode.java
+++ b/src/main/java/quotagateway/scale/SimulatedNode.java
@@ -16,20 +16,20 @@
 import quotagateway.policy.api.PolicySettings;
 
 /** An edge node without sockets: the true decision module on a virtual clock, among stand-ins. */
-final class HollowNode implements PolicyActions {
+final class SimulatedNode implements PolicyActions {
     private static final double[] NO_LOAD = new double[0];
 
     /** What a node meets; both call back on the clock, never at once. */
     interface Peers {
         /** Begins an attempt at a server. */
-        void attempt(HollowNode node, Attempt attempt);
+        void attempt(SimulatedNode node, Attempt attempt);
 
         /** Adds to a name of the counter. */
-        void count(HollowNode node, long name, double amount);
+        void count(SimulatedNode node, long name, double amount);
     }
 
     /** A request that came to a node. */
-    static final class Open {
+    static final class PendingRequest {
         final long id;
         final String type;
         final double arrived;
@@ -38,7 +38,7 @@
         boolean over;
         int out;
 
-        Open(IncomingRequest told, double now) {
+        PendingRequest(IncomingRequest told, double now) {
             id = told.id();
             type = told.requestClass();
             arrived = now;
@@ -48,14 +48,14 @@
 
     /** One try at a server. */
     static final class Attempt {
-        final Open request;
+        final PendingRequest request;
         final int number;
         final int server;
         final double sent;
         final int life;
         boolean done;
 
-        Attempt(Open request, int number, int server, double sent, int life) {
+        Attempt(PendingRequest request, int number, int server, double sent, int life) {
             this.request = request;
             this.number = number;
             this.server = server;
@@ -68,7 +68,7 @@
     private final VirtualClock clock;
     private final Peers peers;
     private final PolicySettings settings;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final Map<Long, PendingRequest> open = new HashMap<>();
     private final Histogram latency;
     private final BitSet kept = new BitSet();
     private PolicyEvents module;
@@ -82,7 +82,7 @@
     long refused;
     long failed;
 
-    HollowNode(PolicySettings settings, VirtualClock clock, Peers peers, Histogram latency) {
+    SimulatedNode(PolicySettings settings, VirtualClock clock, Peers peers, Histogram latency) {
         rank = settings.nodeIndex();
         this.settings = settings;
         this.clock = clock;
@@ -127,14 +127,14 @@
     }
 
     void arrive(IncomingRequest told) {
-        Open o = new Open(told, clock.now());
+        PendingRequest o = new PendingRequest(told, clock.now());
         open.put(o.id, o);
         later(told.clientTimeout(), () -> timeUp(o));
         tell(m -> m.onRequest(clock.now(), told));
     }
 
     /** The client waits no longer: what is out has timed out, and the module has the last word. */
-    private void timeUp(Open o) {
+    private void timeUp(PendingRequest o) {
         for (Attempt a : o.attempts) {
             ended(a, CallOutcome.TIMEOUT);
         }
@@ -149,7 +149,7 @@
             return;
         }
         a.done = true;
-        Open o = a.request;
+        PendingRequest o = a.request;
         o.out--;
         if (outcome == CallOutcome.OK) {
             over(o, () -> {
@@ -172,7 +172,7 @@
         return life;
     }
 
-    private void over(Open o, Runnable count) {
+    private void over(PendingRequest o, Runnable count) {
         if (!o.over) {
             o.over = true;
             count.run();
@@ -181,7 +181,7 @@
     }
 
     /** Forgets a request once it is over and nothing is out for it. */
-    private void settle(Open o) {
+    private void settle(PendingRequest o) {
         if (o.over && o.out == 0) {
             open.remove(o.id);
         }
@@ -214,11 +214,11 @@
 
     @Override
     public void sendAttempt(long id, String server, double until) {
-        Open o = open.get(id);
+        PendingRequest o = open.get(id);
         if (o == null) {
             return;
         }
-        Attempt a = new Attempt(o, o.attempts.size(), Servers.number(server), clock.now(), life);
+        Attempt a = new Attempt(o, o.attempts.size(), EndpointInventory.number(server), clock.now(), life);
         o.attempts.add(a);
         o.out++;
         if (o.over) {
@@ -231,7 +231,7 @@
 
     @Override
     public void cancelAttempt(long id, int attempt) {
-        Open o = open.get(id);
+        PendingRequest o = open.get(id);
         if (o != null) {
             later(0, () -> ended(o.attempts.get(attempt), CallOutcome.CANCELLED));
         }
@@ -239,7 +239,7 @@
 
     @Override
     public void reject(long id, double retryAfter) {
-        Open o = open.get(id);
+        PendingRequest o = open.get(id);
         if (o != null) {
             over(o, () -> refused++);
         }
@@ -247,7 +247,7 @@
 
     @Override
     public void fail(long id) {
-        Open o = open.get(id);
+        PendingRequest o = open.get(id);
         if (o != null) {
             over(o, () -> failed++);
         }
@@ -272,11 +272,11 @@
 
     @Override
     public void retainEndpoint(EndpointDescriptor server) {
-        kept.set(Servers.number(server.id()));
+        kept.set(EndpointInventory.number(server.id()));
     }
 
     @Override
     public void releaseEndpoint(String server) {
-        kept.clear(Servers.number(server));
+        kept.clear(EndpointInventory.number(server));
     }
 }
--- a/src/main/java/quotagateway/scale/Loops.java
+++ b/src/main/java/quotagateway/scale/StandInLoops.java
@@ -26,14 +26,14 @@
 import java.util.function.Supplier;
 
 /** Event loops and listeners of the stand-ins; all of it on loopback. */
-public final class Loops {
+public final class StandInLoops {
     private static final int BACKLOG = 1024;
     /** More than any message of the protocol has. */
     private static final int ELEMENTS = 16;
 
     private static final int DEPTH = 4;
 
-    private Loops() {}
+    private StandInLoops() {}
 
     public static EventLoopGroup one() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -60,9 +60,10 @@
                 .bind(at)
                 .await();
         if (!bound.isSuccess()) {
-            throw new Refused("cannot listen at " + at.getAddress().getHostAddress() + ":" + at.getPort()
-                    + ": "
-                    + bound.cause().getMessage());
+            throw new RunNotPossibleException(
+                    "cannot listen at " + at.getAddress().getHostAddress() + ":" + at.getPort()
+                            + ": "
+                            + bound.cause().getMessage());
         }
         return bound.channel();
     }
--- a/src/main/java/quotagateway/scale/ZoneLossExperiment.java
+++ b/src/main/java/quotagateway/scale/ZoneLossExperiment.java
@@ -12,7 +12,7 @@
         name = "zone-loss",
         mixinStandardHelpOptions = true,
         description = "Time until as much is served as before, after a zone's loss and after its return")
-final class ZoneLossExperiment extends FleetRun {
+final class ZoneLossExperiment extends SimulatedFleetExperiment {
     private static final double SETTLED = 8000;
     private static final double WINDOW = 500;
     /** So much of what was served before, in so many windows in a row, is back. */
@@ -38,7 +38,7 @@
 
     @Override
     void point(int size) {
-        Fleet fleet = started(size, SETTLED);
+        SimulatedFleet fleet = started(size, SETTLED);
         fleet.silence(quiet);
         double usual = share(fleet, 4 * WINDOW);
         long zoneBefore = zoneGot(fleet);
@@ -47,7 +47,7 @@
         List<EndpointDescriptor> gone = new ArrayList<>();
         for (int i = 0; i < fleet.hosts.length; i++) {
             if (fleet.servers.zone(i) == 0) {
-                fleet.hosts[i].end(HollowServer.Life.SILENT);
+                fleet.hosts[i].end(SimulatedEndpoint.Availability.SILENT);
                 gone.add(fleet.servers.entry(i, EndpointState.REMOVED, 0));
             }
         }
@@ -56,7 +56,7 @@
         results.add("zone.kept_after_loss_least", "nodes", size, leastKept(fleet), "servers");
         List<EndpointDescriptor> back = new ArrayList<>();
         for (EndpointDescriptor s : gone) {
-            int server = Servers.number(s.id());
+            int server = EndpointInventory.number(s.id());
             fleet.hosts[server].restart();
             back.add(fleet.servers.entry(server, EndpointState.UP, fleet.clock.now()));
         }
@@ -72,7 +72,7 @@
     }
 
     /** Windows of what is served, of all that ends in them: arrivals of a window are too uneven. */
-    private void watch(Fleet fleet, int size, String what, double usual) {
+    private void watch(SimulatedFleet fleet, int size, String what, double usual) {
         double least = 1;
         double back = seconds * 1000.0;
         int good = 0;
@@ -90,7 +90,7 @@
         results.add("zone." + what + "_time_back", "nodes", size, back, "ms");
     }
 
-    private double share(Fleet fleet, double window) {
+    private double share(SimulatedFleet fleet, double window) {
         long served = fleet.served();
         long ended = fleet.ended();
         run(fleet, window);
@@ -98,19 +98,19 @@
     }
 
     /** Servers that are up, in the set of the node that has fewest. */
-    private static int leastKept(Fleet fleet) {
+    private static int leastKept(SimulatedFleet fleet) {
         int least = Integer.MAX_VALUE;
-        for (HollowNode node : fleet.nodes) {
+        for (SimulatedNode node : fleet.nodes) {
             least = (int) Math.min(
                     least,
                     node.kept().stream()
-                            .filter(i -> fleet.hosts[i].life == HollowServer.Life.UP)
+                            .filter(i -> fleet.hosts[i].life == SimulatedEndpoint.Availability.UP)
                             .count());
         }
         return least;
     }
 
-    private static long zoneGot(Fleet fleet) {
+    private static long zoneGot(SimulatedFleet fleet) {
         long sum = 0;
         for (int i = 0; i < fleet.hosts.length; i++) {
             sum += fleet.servers.zone(i) == 0 ? fleet.hosts[i].got : 0;
--- a/src/main/java/quotagateway/scale/capacity/Model.java
+++ b/src/main/java/quotagateway/scale/capacity/CapacityModel.java
@@ -14,7 +14,7 @@
  * {@code metric[x@NAME]} (the point that was measured there, or at the {@code largest} size), all in bytes
  * and seconds.
  */
-final class Model {
+final class CapacityModel {
     private static final Set<String> KINDS = Set.of("size", "budget", "assumption", "code", "derived");
     private static final Set<String> STATES = Set.of("present", "made here", "missing");
     private static final String FORM = "form.";
@@ -23,7 +23,7 @@
             Map.of("ns", 1e-9, "us", 1e-6, "ms", 1e-3, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
     /** A named number: what it is, and in which words it was given. */
-    record Quantity(String name, String kind, String formula, Figure figure, String unit, String text) {}
+    record Quantity(String name, String kind, String formula, Estimate figure, String unit, String text) {}
 
     /** What carries a row: present, made here or missing, in the order of what it blocks. */
     record Mechanism(String name, String state, String text) {}
@@ -34,9 +34,9 @@
             String when,
             String what,
             String formula,
-            Figure figure,
+            Estimate figure,
             String unit,
-            Figure budget,
+            Estimate budget,
             Mechanism mechanism) {
 
         /** How often the budget goes into the figure; NaN where one of them is not there. */
@@ -53,7 +53,7 @@
      * A figure of a run that has to be foretold: by a line through its smaller sizes, or where a formula is
      * given (else null) by that, at one size.
      */
-    record CrossCheck(String metric, String x, String text, String formula, Figure foretold, double at) {}
+    record CrossCheck(String metric, String x, String text, String formula, Estimate foretold, double at) {}
 
     private final Map<String, Quantity> quantities = new LinkedHashMap<>();
     private final Map<String, Mechanism> mechanisms = new LinkedHashMap<>();
@@ -63,13 +63,13 @@
     private final Map<String, String> forms = Messages.samples();
     private final Measurements measurements;
 
-    private Model(Measurements measurements) {
+    private CapacityModel(Measurements measurements) {
         this.measurements = measurements;
     }
 
-    static Model read(Path file, Measurements measurements) {
-        Model model = new Model(measurements);
-        Doc root = Doc.read(file);
+    static CapacityModel read(Path file, Measurements measurements) {
+        CapacityModel model = new CapacityModel(measurements);
+        LocatedJson root = LocatedJson.read(file);
         root.get("quantities").list().forEach(model::quantity);
         root.get("mechanisms").list().forEach(model::mechanism);
         root.get("roles")
@@ -80,7 +80,7 @@
         root.get("cross_checks").list().forEach(model::check);
         for (Mechanism m : model.mechanisms.values()) {
             if (model.rows.stream().noneMatch(r -> r.mechanism.equals(m))) {
-                throw new BadInput(file + ": mechanism " + m.name + " carries no row");
+                throw new InvalidInputException(file + ": mechanism " + m.name + " carries no row");
             }
         }
         return model;
@@ -114,18 +114,18 @@
         return measurements;
     }
 
-    private void quantity(Doc d) {
+    private void quantity(LocatedJson d) {
         String name = d.get("name").text();
         String kind = oneOf(d.get("kind"), KINDS);
-        Doc is = d.get("is");
-        Figure figure;
+        LocatedJson is = d.get("is");
+        Estimate figure;
         String formula = "";
         if (kind.equals("derived")) {
             formula = is.text();
             figure = reckon(formula, is.at());
         } else {
             boolean given = kind.equals("size") || kind.equals("budget");
-            figure = given ? Figure.of(is.number()) : Figure.of(is.number(), kind + " " + name);
+            figure = given ? Estimate.of(is.number()) : Estimate.of(is.number(), kind + " " + name);
         }
         Quantity before = quantities.put(
                 name,
@@ -137,22 +137,22 @@
                         d.get("unit").text(""),
                         d.get("text").text()));
         if (before != null) {
-            throw new BadInput(d.at() + ": " + name + " is there already");
+            throw new InvalidInputException(d.at() + ": " + name + " is there already");
         }
     }
 
-    private void mechanism(Doc d) {
+    private void mechanism(LocatedJson d) {
         String name = d.get("name").text();
         mechanisms.put(
                 name,
                 new Mechanism(name, oneOf(d.get("state"), STATES), d.get("text").text()));
     }
 
-    private void row(Doc d) {
+    private void row(LocatedJson d) {
         String role = oneOf(d.get("role"), roles.keySet());
         Mechanism carrier = mechanisms.get(oneOf(d.get("mechanism"), mechanisms.keySet()));
-        Doc is = d.get("is");
-        Doc budget = d.get("budget");
+        LocatedJson is = d.get("is");
+        LocatedJson budget = d.get("budget");
         rows.add(new Row(
                 role,
                 d.get("when").text(),
@@ -164,8 +164,8 @@
                 carrier));
     }
 
-    private void check(Doc d) {
-        Doc is = d.get("is");
+    private void check(LocatedJson d) {
+        LocatedJson is = d.get("is");
         boolean given = d.has("is");
         checks.add(new CrossCheck(
                 d.get("metric").text(),
@@ -176,24 +176,24 @@
                 given ? d.get("at").number() : 0));
     }
 
-    private static String oneOf(Doc d, Set<String> allowed) {
+    private static String oneOf(LocatedJson d, Set<String> allowed) {
         if (!allowed.contains(d.text())) {
-            throw new BadInput(d.at() + ": '" + d.text() + "' is none of "
+            throw new InvalidInputException(d.at() + ": '" + d.text() + "' is none of "
                     + allowed.stream().sorted().toList());
         }
         return d.text();
     }
 
-    private Figure reckon(String formula, String at) {
+    private Estimate reckon(String formula, String at) {
         String[] words = formula.trim().split("\\s+", 0);
-        Figure sum = Figure.of(0);
-        Figure product = term(words[0], at);
+        Estimate sum = Estimate.of(0);
+        Estimate product = term(words[0], at);
         double sign = 1;
         if (words.length % 2 == 0) {
-            throw new BadInput(at + ": a name is missing in '" + formula + "'");
+            throw new InvalidInputException(at + ": a name is missing in '" + formula + "'");
         }
         for (int i = 1; i < words.length; i += 2) {
-            Figure next = term(words[i + 1], at);
+            Estimate next = term(words[i + 1], at);
             switch (words[i]) {
                 case "*" -> product = product.with(product.value() * next.value(), next);
                 case "/" -> product = product.with(product.value() / next.value(), next);
@@ -202,49 +202,49 @@
                     sign = words[i].equals("+") ? 1 : -1;
                     product = next;
                 }
-                default -> throw new BadInput(at + ": one of + - * / expected, found '" + words[i] + "'");
+                default -> throw new InvalidInputException(at + ": one of + - * / expected, found '" + words[i] + "'");
             }
         }
         return sum.with(sum.value() + sign * product.value(), product);
     }
 
-    private Figure term(String word, String at) {
+    private Estimate term(String word, String at) {
         if (word.endsWith("]") && word.contains("[")) {
             return measured(word, at);
         }
         if (word.startsWith(FORM)) {
             String sample = forms.get(word.substring(FORM.length()));
             if (sample == null) {
-                throw new BadInput(at + ": no message form '" + word + "'");
+                throw new InvalidInputException(at + ": no message form '" + word + "'");
             }
-            return Figure.of(Messages.bytes(sample), "form " + word.substring(FORM.length()));
+            return Estimate.of(Messages.bytes(sample), "form " + word.substring(FORM.length()));
         }
         Quantity known = quantities.get(word);
         if (known != null) {
             return known.figure;
         }
         try {
-            return Figure.of(Double.parseDouble(word));
+            return Estimate.of(Double.parseDouble(word));
         } catch (NumberFormatException e) {
-            throw new BadInput(at + ": '" + word + "' is not known here");
+            throw new InvalidInputException(at + ": '" + word + "' is not known here");
         }
     }
 
     /** What a run gave; no number, and told so, where none did. */
-    private Figure measured(String word, String at) {
+    private Estimate measured(String word, String at) {
         String metric = word.substring(0, word.indexOf('['));
         String inside = word.substring(word.indexOf('[') + 1, word.length() - 1);
         boolean atPoint = inside.contains("@");
         String[] x = inside.split("[=@]", 2);
         Measurements.Series found = measurements.find(metric, x[0]);
-        Figure size = x.length == 1
-                ? Figure.of(0)
+        Estimate size = x.length == 1
+                ? Estimate.of(0)
                 : !atPoint || !x[1].equals(LARGEST)
                         ? term(x[1], at)
-                        : Figure.of(found == null ? Double.NaN : found.largest());
+                        : Estimate.of(found == null ? Double.NaN : found.largest());
         if (found == null) {
             String none = "**no run yet** of " + metric + " over " + x[0];
-            return Figure.of(Double.NaN, none).with(Double.NaN, size);
+            return Estimate.of(Double.NaN, none).with(Double.NaN, size);
         }
         double unit = scale(found);
         String run = measurements.label(found) + ": ";
@@ -253,19 +253,19 @@
             String grounds = run
                     + (Double.isNaN(point)
                             ? "**no such point**"
-                            : "as measured at " + x[0] + " = " + Figure.number(size.value()));
-            return Figure.of(point, grounds).with(point, size);
+                            : "as measured at " + x[0] + " = " + Estimate.number(size.value()));
+            return Estimate.of(point, grounds).with(point, size);
         }
         double slope = found.fit().slope();
-        run += Figure.number(slope) + " " + found.unit() + " x " + x[0];
+        run += Estimate.number(slope) + " " + found.unit() + " x " + x[0];
         if (x.length == 1) {
-            return Figure.of(slope * unit, run);
+            return Estimate.of(slope * unit, run);
         }
         double intercept = found.fit().intercept();
-        run += (intercept < 0 ? " - " : " + ") + Figure.number(Math.abs(intercept));
+        run += (intercept < 0 ? " - " : " + ") + Estimate.number(Math.abs(intercept));
         run += range(found, size.value());
         double there = found.fit().at(size.value()) * unit;
-        return Figure.of(there, run).with(there, size);
+        return Estimate.of(there, run).with(there, size);
     }
 
     /** A run's unit in bytes or seconds. */
@@ -276,7 +276,7 @@
     /** A size that no run has seen is told as such. */
     private static String range(Measurements.Series found, double size) {
         return size > found.largest()
-                ? ", **beyond** its largest, " + Figure.number(found.largest())
-                : size < found.smallest() ? ", **below** its smallest, " + Figure.number(found.smallest()) : "";
+                ? ", **beyond** its largest, " + Estimate.number(found.largest())
+                : size < found.smallest() ? ", **below** its smallest, " + Estimate.number(found.smallest()) : "";
     }
 }
--- a/src/main/java/quotagateway/scale/capacity/CapacityTables.java
+++ b/src/main/java/quotagateway/scale/capacity/CapacityTables.java
@@ -43,7 +43,7 @@
             CapacityTables command = new CapacityTables();
             command.read(args);
             return command.act(out, err);
-        } catch (BadInput bad) {
+        } catch (InvalidInputException bad) {
             err.println("capacity: " + bad.getMessage());
             return BAD;
         }
@@ -57,27 +57,27 @@
                 case "--measurements" -> measurements = file(args, ++i);
                 case "--write", "--check" -> {
                     if (page != null) {
-                        throw new BadInput("one of --write and --check, once");
+                        throw new InvalidInputException("one of --write and --check, once");
                     }
                     write = args[i].equals("--write");
                     page = file(args, ++i);
                 }
                 default -> {
                     if (args[i].startsWith("-")) {
-                        throw new BadInput("unknown option '" + args[i] + "'; see --help");
+                        throw new InvalidInputException("unknown option '" + args[i] + "'; see --help");
                     }
                     names.add(args[i]);
                 }
             }
         }
         if (page != null && !names.isEmpty()) {
-            throw new BadInput("a page holds all tables: name none beside --write and --check");
+            throw new InvalidInputException("a page holds all tables: name none beside --write and --check");
         }
     }
 
     private static Path file(String[] args, int i) {
         if (i >= args.length || args[i].isEmpty() || args[i].startsWith("--")) {
-            throw new BadInput("a file expected behind " + args[i - 1]);
+            throw new InvalidInputException("a file expected behind " + args[i - 1]);
         }
         return Path.of(args[i]);
     }
@@ -87,13 +87,14 @@
             out.print(USAGE);
             return 0;
         }
-        Map<String, String> tables = Tables.of(Model.read(model, Measurements.read(measurements)));
+        Map<String, String> tables = Tables.of(CapacityModel.read(model, Measurements.read(measurements)));
         if (page != null) {
             return page(tables, err);
         }
         for (String name : names) {
             if (!tables.containsKey(name)) {
-                throw new BadInput("no table '" + name + "'; there are " + String.join(" ", tables.keySet()));
+                throw new InvalidInputException(
+                        "no table '" + name + "'; there are " + String.join(" ", tables.keySet()));
             }
         }
         tables.forEach((name, text) -> {
@@ -107,7 +108,7 @@
     private int page(Map<String, String> tables, PrintStream err) {
         try {
             String before = Files.readString(page);
-            String after = Page.filled(before, tables, page.toString());
+            String after = CapacityPage.filled(before, tables, page.toString());
             if (!write && !before.equals(after)) {
                 err.println("capacity: " + page + " differs from what its files give; write it again");
                 return DIFFERS;
@@ -117,7 +118,7 @@
             }
             return 0;
         } catch (IOException e) {
-            throw new BadInput(page + ": cannot be " + (write ? "read or written" : "read"));
+            throw new InvalidInputException(page + ": cannot be " + (write ? "read or written" : "read"));
         }
     }
 }
--- a/src/main/java/quotagateway/scale/capacity/Figure.java
+++ b/src/main/java/quotagateway/scale/capacity/Estimate.java
@@ -10,28 +10,28 @@
 import java.util.Set;
 
 /** A number with what it rests on; no number where something it needs has not been measured. */
-record Figure(double value, Set<String> restsOn) {
+record Estimate(double value, Set<String> restsOn) {
     static final String NOT_MEASURED = "not measured";
     private static final int DIGITS = 3;
     private static final double K = 1000;
     private static final double LEAST_SHARE = 0.001;
 
-    static Figure of(double value) {
-        return new Figure(value, Set.of());
+    static Estimate of(double value) {
+        return new Estimate(value, Set.of());
     }
 
-    static Figure of(double value, String restsOn) {
-        return new Figure(value, Set.of(restsOn));
+    static Estimate of(double value, String restsOn) {
+        return new Estimate(value, Set.of(restsOn));
     }
 
     boolean measured() {
         return !Double.isNaN(value); // carried on by all arithmetic
     }
 
-    Figure with(double result, Figure other) {
+    Estimate with(double result, Estimate other) {
         Set<String> both = new LinkedHashSet<>(restsOn);
         both.addAll(other.restsOn);
-        return new Figure(result, both);
+        return new Estimate(result, both);
     }
 
     /** Three digits and the unit that suits the size: K, M and G are powers of 1,000. */
--- a/src/main/java/quotagateway/scale/capacity/Doc.java
+++ b/src/main/java/quotagateway/scale/capacity/LocatedJson.java
@@ -14,41 +14,41 @@
 import java.util.Map;
 
 /** A value in a JSON file that knows its place there: what is missing or of another kind is told with it. */
-final class Doc {
+final class LocatedJson {
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
     private final Object value;
     private final String at;
 
-    private Doc(Object value, String at) {
+    private LocatedJson(Object value, String at) {
         this.value = value;
         this.at = at;
     }
 
     /** Reads a file that holds one value; throws {@link BadInput} where it is missing or no JSON. */
-    static Doc read(Path file) {
-        List<Doc> all = rows(file);
+    static LocatedJson read(Path file) {
+        List<LocatedJson> all = rows(file);
         if (all.size() != 1) {
-            throw new BadInput(file + ": one value expected, found " + all.size());
+            throw new InvalidInputException(file + ": one value expected, found " + all.size());
         }
-        return new Doc(all.get(0).value, file.toString());
+        return new LocatedJson(all.get(0).value, file.toString());
     }
 
     /** Reads a file of values behind one another, one a line as runs append them. */
-    static List<Doc> rows(Path file) {
+    static List<LocatedJson> rows(Path file) {
         try (JsonParser in = FACTORY.createParser(Files.readAllBytes(file))) {
-            List<Doc> all = new ArrayList<>();
+            List<LocatedJson> all = new ArrayList<>();
             while (in.nextToken() != null) {
-                all.add(new Doc(value(in), file + "[" + all.size() + "]"));
+                all.add(new LocatedJson(value(in), file + "[" + all.size() + "]"));
             }
             return all;
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new BadInput(file + ": line " + line + ": not JSON as it should be: "
+            throw new InvalidInputException(file + ": line " + line + ": not JSON as it should be: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new BadInput(file + ": cannot be read");
+            throw new InvalidInputException(file + ": cannot be read");
         }
     }
 
@@ -80,22 +80,22 @@
         return at;
     }
 
-    Doc get(String name) {
+    LocatedJson get(String name) {
         Object found = value instanceof Map<?, ?> all ? all.get(name) : null;
-        return new Doc(found, at + ": " + name);
+        return new LocatedJson(found, at + ": " + name);
     }
 
     boolean has(String name) {
         return get(name).value != null;
     }
 
-    List<Doc> list() {
+    List<LocatedJson> list() {
         if (!(value instanceof List<?> all)) {
-            throw new BadInput(at + ": a list expected");
+            throw new InvalidInputException(at + ": a list expected");
         }
-        List<Doc> docs = new ArrayList<>();
+        List<LocatedJson> docs = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
-            docs.add(new Doc(all.get(i), at + "[" + i + "]"));
+            docs.add(new LocatedJson(all.get(i), at + "[" + i + "]"));
         }
         return docs;
     }
@@ -106,14 +106,14 @@
 
     double number() {
         if (!(value instanceof Double number) || !Double.isFinite(number)) {
-            throw new BadInput(at + ": a number expected");
+            throw new InvalidInputException(at + ": a number expected");
         }
         return number;
     }
 
     String text() {
         if (!(value instanceof String text) || text.isBlank()) {
-            throw new BadInput(at + ": a text expected");
+            throw new InvalidInputException(at + ": a text expected");
         }
         return text;
     }
--- a/src/main/java/quotagateway/scale/capacity/Measurements.java
+++ b/src/main/java/quotagateway/scale/capacity/Measurements.java
@@ -63,27 +63,29 @@
     /** The rows of a file: one list of them, or one a line. */
     static Measurements read(Path file) {
         Measurements read = new Measurements();
-        List<Doc> rows = Doc.rows(file);
-        for (Doc row : rows.size() == 1 && rows.get(0).isList() ? Doc.read(file).list() : rows) {
+        List<LocatedJson> rows = LocatedJson.rows(file);
+        for (LocatedJson row : rows.size() == 1 && rows.get(0).isList()
+                ? LocatedJson.read(file).list()
+                : rows) {
             read.all.add(series(row));
         }
         return read;
     }
 
-    private static Series series(Doc row) {
+    private static Series series(LocatedJson row) {
         List<double[]> points = new ArrayList<>();
-        for (Doc point : row.get("points").list()) {
-            List<Doc> xy = point.list();
+        for (LocatedJson point : row.get("points").list()) {
+            List<LocatedJson> xy = point.list();
             if (xy.size() != 2) {
-                throw new BadInput(point.at() + ": two numbers expected");
+                throw new InvalidInputException(point.at() + ": two numbers expected");
             }
             points.add(new double[] {xy.get(0).number(), xy.get(1).number()});
         }
         if (points.isEmpty()) {
-            throw new BadInput(row.at() + ": points: none");
+            throw new InvalidInputException(row.at() + ": points: none");
         }
         points.sort(Comparator.comparingDouble(p -> p[0]));
-        Doc fit = row.get("fit");
+        LocatedJson fit = row.get("fit");
         return new Series(
                 row.get("run").text(),
                 row.get("commit").text(),
--- a/src/main/java/quotagateway/scale/capacity/Tables.java
+++ b/src/main/java/quotagateway/scale/capacity/Tables.java
@@ -13,14 +13,14 @@
 final class Tables {
     private static final String NONE = "-";
     private static final String ASSUMED = "assumption ";
-    private final Model model;
+    private final CapacityModel model;
 
-    private Tables(Model model) {
+    private Tables(CapacityModel model) {
         this.model = model;
     }
 
     /** Name to text, in the order of the page; each text ends with a line break. */
-    static Map<String, String> of(Model model) {
+    static Map<String, String> of(CapacityModel model) {
         Tables t = new Tables(model);
         Map<String, String> all = new LinkedHashMap<>();
         all.put("over", t.over());
@@ -55,18 +55,18 @@
         return table.toString();
     }
 
-    private static String verdict(Model.Row r) {
+    private static String verdict(CapacityModel.Row r) {
         double ratio = r.ratio();
         if (r.budget() == null) {
             return NONE;
         }
         if (Double.isNaN(ratio)) {
-            return Figure.NOT_MEASURED;
+            return Estimate.NOT_MEASURED;
         }
-        return r.over() ? "**OVER, " + Figure.number(ratio) + " x**" : "within, " + Figure.percent(ratio);
+        return r.over() ? "**OVER, " + Estimate.number(ratio) + " x**" : "within, " + Estimate.percent(ratio);
     }
 
-    private static String rests(Figure figure) {
+    private static String rests(Estimate figure) {
         return figure.restsOn().isEmpty()
                 ? "sizes alone"
                 : figure.restsOn().stream()
@@ -75,7 +75,7 @@
     }
 
     /** The assumptions behind a figure and its budget. */
-    private static String assumed(Model.Row r) {
+    private static String assumed(CapacityModel.Row r) {
         return Stream.of(r.figure(), r.budget())
                 .flatMap(f -> f.restsOn().stream())
                 .filter(g -> g.startsWith(ASSUMED))
@@ -88,11 +88,11 @@
     private String over() {
         StringBuilder table = head("over", "role", "when", "what", "figure", "budget", "assuming", "carried by");
         model.rows().stream()
-                .filter(Model.Row::over)
-                .sorted(Comparator.comparingDouble(Model.Row::ratio).reversed())
+                .filter(CapacityModel.Row::over)
+                .sorted(Comparator.comparingDouble(CapacityModel.Row::ratio).reversed())
                 .forEach(r -> line(
                         table,
-                        Figure.number(r.ratio()) + " x",
+                        Estimate.number(r.ratio()) + " x",
                         r.role(),
                         r.when(),
                         r.what(),
@@ -103,11 +103,11 @@
         return table.toString();
     }
 
-    private String mechanisms(Predicate<Model.Mechanism> which) {
+    private String mechanisms(Predicate<CapacityModel.Mechanism> which) {
         int[] place = {0};
         StringBuilder table = head("", "mechanism", "state", "what it is", "rows", "over", "not measured");
         model.mechanisms().values().stream().filter(which).forEach(m -> {
-            List<Model.Row> rows =
+            List<CapacityModel.Row> rows =
                     model.rows().stream().filter(r -> r.mechanism().equals(m)).toList();
             line(
                     table,
@@ -116,7 +116,7 @@
                     m.state(),
                     m.text(),
                     Integer.toString(rows.size()),
-                    Long.toString(rows.stream().filter(Model.Row::over).count()),
+                    Long.toString(rows.stream().filter(CapacityModel.Row::over).count()),
                     Long.toString(
                             rows.stream().filter(r -> !r.figure().measured()).count()));
         });
@@ -126,17 +126,20 @@
     private String crossChecks() {
         StringBuilder table =
                 head("figure", "size left out", "foretold", "measured there", "deviation", "foretold by", "run");
-        for (Model.CrossCheck c : model.checks()) {
+        for (CapacityModel.CrossCheck c : model.checks()) {
             Measurements.Series series = model.measurements().find(c.metric(), c.x());
             Measurements.Check check = series == null
                     ? null
                     : c.formula() == null
                             ? Measurements.leaveLargestOut(series)
                             : new Measurements.Check(
-                                    series, c.at(), c.foretold().value() / Model.scale(series), series.pointAt(c.at()));
+                                    series,
+                                    c.at(),
+                                    c.foretold().value() / CapacityModel.scale(series),
+                                    series.pointAt(c.at()));
             String by = c.formula() == null ? "the smaller sizes" : "`" + c.formula() + "`";
             if (check == null || Double.isNaN(check.deviation())) {
-                String none = Figure.NOT_MEASURED;
+                String none = Estimate.NOT_MEASURED;
                 line(
                         table,
                         c.text(),
@@ -150,10 +153,10 @@
                 line(
                         table,
                         c.text(),
-                        c.x() + " = " + Figure.number(check.x()),
+                        c.x() + " = " + Estimate.number(check.x()),
                         amount(check.predicted(), series),
                         amount(check.measured(), series),
-                        Figure.percent(check.deviation()),
+                        Estimate.percent(check.deviation()),
                         by,
                         label(series));
             }
@@ -180,11 +183,11 @@
                 line(
                         table,
                         first.metric(),
-                        first.x() + " = " + Figure.number(x),
+                        first.x() + " = " + Estimate.number(x),
                         runs.stream()
                                 .map(s -> label(s) + ": " + amount(s.pointAt(x), s))
                                 .collect(Collectors.joining("; ")),
-                        Figure.number(last.pointAt(x) / first.pointAt(x)));
+                        Estimate.number(last.pointAt(x) / first.pointAt(x)));
                 none = false;
             }
         }
@@ -205,7 +208,7 @@
     }
 
     private static String amount(double value, Measurements.Series series) {
-        return (Figure.number(value) + " " + series.unit()).trim();
+        return (Estimate.number(value) + " " + series.unit()).trim();
     }
 
     private String measurements() {
@@ -215,15 +218,17 @@
             String[] fit = s.fit() == null
                     ? new String[] {NONE, NONE, NONE}
                     : new String[] {
-                        Figure.number(s.fit().slope()), Figure.number(s.fit().intercept()), Figure.number(s.residual())
+                        Estimate.number(s.fit().slope()),
+                        Estimate.number(s.fit().intercept()),
+                        Estimate.number(s.residual())
                     };
             line(
                     table,
                     s.metric(),
                     s.x(),
                     Integer.toString(s.points().size()),
-                    Figure.number(s.smallest()),
-                    Figure.number(s.largest()),
+                    Estimate.number(s.smallest()),
+                    Estimate.number(s.largest()),
                     fit[0],
                     fit[1],
                     fit[2],
@@ -238,7 +243,7 @@
         StringBuilder table = derived
                 ? head("name", "value", "reckoned as", "rests on", "what it is")
                 : head("name", "value", "what it is");
-        for (Model.Quantity q : model.quantities().values()) {
+        for (CapacityModel.Quantity q : model.quantities().values()) {
             if (q.kind().equals(kind) && derived) {
                 line(table, q.name(), q.figure().text(q.unit()), "`" + q.formula() + "`", rests(q.figure()), q.text());
             } else if (q.kind().equals(kind)) {
--- a/src/main/java/quotagateway/scale/soak/ClientFleet.java
+++ b/src/main/java/quotagateway/scale/soak/ClientFleet.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import quotagateway.policy.api.Idempotency;
 import quotagateway.policy.api.RequestClass;
-import quotagateway.scale.Loops;
-import quotagateway.scale.Site;
+import quotagateway.scale.ScaleSettings;
+import quotagateway.scale.StandInLoops;
 
 /**
  * Clients of all nodes on one loop: an open load, on connections that they keep. Some write slowly, send many
@@ -44,7 +44,7 @@
     private static final double NANOS = 1e6;
 
     /** What a client does with its next request. */
-    private enum Habit {
+    private enum ClientBehaviour {
         PLAIN,
         SLOW,
         PIPELINE,
@@ -56,7 +56,7 @@
     private final RunClock clock;
     private final SoakSettings settings;
     private final List<NodeSlot> nodes;
-    private final List<ArrayDeque<Line>> idle = new ArrayList<>();
+    private final List<ArrayDeque<ClientConnection>> idle = new ArrayList<>();
     private final List<ClientRequest> requests = new ArrayList<>();
     private final SplittableRandom random;
     private final double pauseMs;
@@ -111,23 +111,26 @@
     void nodeEnds(NodeSlot node) {
         group.execute(() -> {
             for (int i = 0; i < LATE_CONNECTIONS && !stopped; i++) {
-                after(random.nextInt(LATE_CONNECTIONS_IN), () -> connect(node, Habit.ASK_LATE));
+                after(random.nextInt(LATE_CONNECTIONS_IN), () -> connect(node, ClientBehaviour.ASK_LATE));
             }
         });
     }
 
-    private Habit habit() {
+    private ClientBehaviour habit() {
         double chance = random.nextDouble();
         return chance < 0.7
-                ? Habit.PLAIN
+                ? ClientBehaviour.PLAIN
                 : chance < 0.78
-                        ? Habit.SLOW
-                        : chance < 0.86 ? Habit.PIPELINE : chance < 0.94 ? Habit.LEAVE : Habit.ASK_LATE;
+                        ? ClientBehaviour.SLOW
+                        : chance < 0.86
+                                ? ClientBehaviour.PIPELINE
+                                : chance < 0.94 ? ClientBehaviour.LEAVE : ClientBehaviour.ASK_LATE;
     }
 
     private void ask(NodeSlot node) {
-        Habit habit = habit();
-        Line line = habit == Habit.ASK_LATE ? null : idle.get(node.number).pollLast();
+        ClientBehaviour habit = habit();
+        ClientConnection line =
+                habit == ClientBehaviour.ASK_LATE ? null : idle.get(node.number).pollLast();
         if (line != null) {
             line.use(habit);
         } else if (node.mayConnect()) {
@@ -135,12 +138,12 @@
         }
     }
 
-    private void connect(NodeSlot node, Habit habit) {
-        Line line = new Line(node);
-        Loops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), line)
+    private void connect(NodeSlot node, ClientBehaviour habit) {
+        ClientConnection line = new ClientConnection(node);
+        StandInLoops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), line)
                 .addListener(f -> {
-                    if (f.isSuccess() && habit == Habit.ASK_LATE) {
-                        after(random.nextInt(ASK_LATE_MOST), () -> line.use(Habit.PLAIN));
+                    if (f.isSuccess() && habit == ClientBehaviour.ASK_LATE) {
+                        after(random.nextInt(ASK_LATE_MOST), () -> line.use(ClientBehaviour.PLAIN));
                     } else if (f.isSuccess()) {
                         line.use(habit);
                     } // refused: its node is down, and the client asks elsewhere
@@ -168,31 +171,31 @@
     }
 
     private String command(ClientRequest request) {
-        int spread = 1 + random.nextInt(Math.min(settings.nodes(), Site.SPREAD));
+        int spread = 1 + random.nextInt(Math.min(settings.nodes(), ScaleSettings.SPREAD));
         int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
         boolean safe = request.type.idempotency() == Idempotency.IDEMPOTENT;
         String list = "c=" + request.type.name() + ",t="
-                + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : Site.PLAN) + ",d="
+                + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : ScaleSettings.PLAN) + ",d="
                 + (long) request.patience
                 + (request.type.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
                 + ",units=1,spread="
                 + spread + ",first=" + first;
-        int set = first * Site.SPREAD + spread - 1; // a customer has the same set of nodes at any time
+        int set = first * ScaleSettings.SPREAD + spread - 1; // a customer has the same set of nodes at any time
         String customer = String.format("%016x", set * CUSTOMERS + random.nextInt(CUSTOMERS));
         return safe
-                ? Loops.command("CALL.GET", customer, request.id, list)
-                : Loops.command("CALL.POST", customer, request.id, list, "body");
+                ? StandInLoops.command("CALL.GET", customer, request.id, list)
+                : StandInLoops.command("CALL.POST", customer, request.id, list, "body");
     }
 
     /** One connection; its requests are answered in their order. */
-    private final class Line extends SimpleChannelInboundHandler<RedisMessage> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<RedisMessage> {
         private final NodeSlot node;
         private final ArrayDeque<ClientRequest> open = new ArrayDeque<>();
         private Channel channel;
         private boolean left;
         private boolean reset;
 
-        Line(NodeSlot node) {
+        ClientConnection(NodeSlot node) {
             this.node = node;
         }
 
@@ -201,7 +204,7 @@
             channel = ctx.channel();
         }
 
-        void use(Habit habit) {
+        void use(ClientBehaviour habit) {
             if (!channel.isActive() || stopped) {
                 return; // it has ended meanwhile
             }
--- a/src/main/java/quotagateway/scale/soak/FaultInjector.java
+++ b/src/main/java/quotagateway/scale/soak/FaultInjector.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import quotagateway.policy.api.EndpointState;
-import quotagateway.scale.AgentStandIn;
+import quotagateway.scale.DiscoveryStandIn;
 
 /** Carries a plan of faults out, each on a thread of its own, so that they overlap as they were drawn. */
 final class FaultInjector {
@@ -21,8 +21,8 @@
     record Scene(
             RunClock clock,
             List<NodeSlot> nodes,
-            FaultyServers servers,
-            AgentStandIn agent,
+            FaultyEndpoints servers,
+            DiscoveryStandIn agent,
             List<FaultProxy> discovery,
             List<FaultProxy> counter,
             NodeSlot.FaultListener listener) {}
@@ -33,7 +33,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final List<ServerNews> news = new CopyOnWriteArrayList<>();
+    private final List<EndpointChange> news = new CopyOnWriteArrayList<>();
     private final List<double[]> discoveryFaults = new CopyOnWriteArrayList<>();
     private final Set<Integer> draining = new HashSet<>();
 
@@ -41,7 +41,7 @@
         this.scene = scene;
     }
 
-    List<ServerNews> news() {
+    List<EndpointChange> news() {
         return news;
     }
 
@@ -89,13 +89,13 @@
             }
             case PAUSE -> scene.nodes.get(first).pause(Math.round(fault.duration()));
             case ROLL -> roll(fault);
-            case SERVERS_HANG -> servers(fault, FaultyServers.Behaviour.HANG);
-            case SERVERS_FAIL -> servers(fault, FaultyServers.Behaviour.FAIL);
-            case SERVERS_BUSY -> servers(fault, FaultyServers.Behaviour.BUSY);
-            case SERVERS_RESET -> servers(fault, FaultyServers.Behaviour.RESET);
-            case SERVERS_HALF -> servers(fault, FaultyServers.Behaviour.HALF);
-            case SERVERS_SLOW -> servers(fault, FaultyServers.Behaviour.SLOW);
-            case SERVERS_DOWN -> servers(fault, FaultyServers.Behaviour.DOWN);
+            case SERVERS_HANG -> servers(fault, FaultyEndpoints.Behaviour.HANG);
+            case SERVERS_FAIL -> servers(fault, FaultyEndpoints.Behaviour.FAIL);
+            case SERVERS_BUSY -> servers(fault, FaultyEndpoints.Behaviour.BUSY);
+            case SERVERS_RESET -> servers(fault, FaultyEndpoints.Behaviour.RESET);
+            case SERVERS_HALF -> servers(fault, FaultyEndpoints.Behaviour.HALF);
+            case SERVERS_SLOW -> servers(fault, FaultyEndpoints.Behaviour.SLOW);
+            case SERVERS_DOWN -> servers(fault, FaultyEndpoints.Behaviour.DOWN);
             case SERVER_CONNECTIONS_RESET -> fault.targets().forEach(scene.servers::resetAll);
             case SERVERS_DRAIN -> drain(fault);
             case DISCOVERY_SILENT -> discovery(fault, FaultProxy.Mode.SILENT);
@@ -111,17 +111,17 @@
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 1000));
     }
 
-    private void servers(FaultPlan.Fault fault, FaultyServers.Behaviour behaviour) throws InterruptedException {
+    private void servers(FaultPlan.Fault fault, FaultyEndpoints.Behaviour behaviour) throws InterruptedException {
         fault.targets().forEach(server -> scene.servers.behave(server, behaviour));
         last(fault);
-        fault.targets().forEach(server -> scene.servers.behave(server, FaultyServers.Behaviour.WELL));
+        fault.targets().forEach(server -> scene.servers.behave(server, FaultyEndpoints.Behaviour.WELL));
     }
 
     /** Some nodes are told to end at once, while every third server hangs. */
     private void roll(FaultPlan.Fault fault) throws InterruptedException {
         int size = scene.servers.size();
         for (int server = 0; server < size; server += 3) {
-            scene.servers.behave(server, FaultyServers.Behaviour.HANG);
+            scene.servers.behave(server, FaultyEndpoints.Behaviour.HANG);
         }
         List<Thread> restarts = new ArrayList<>();
         for (int node : fault.targets()) {
@@ -131,7 +131,7 @@
         restarts.forEach(Thread::start);
         last(fault);
         for (int server = 0; server < size; server += 3) {
-            scene.servers.behave(server, FaultyServers.Behaviour.WELL);
+            scene.servers.behave(server, FaultyEndpoints.Behaviour.WELL);
         }
         for (Thread restart : restarts) {
             restart.join();
@@ -152,7 +152,7 @@
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 500));
         double until = scene.clock.now();
         scene.agent.change(mine, EndpointState.UP, System.currentTimeMillis());
-        mine.forEach(server -> news.add(new ServerNews(server, from, until)));
+        mine.forEach(server -> news.add(new EndpointChange(server, from, until)));
         synchronized (draining) {
             draining.removeAll(mine);
         }
--- a/src/main/java/quotagateway/scale/soak/FaultyServers.java
+++ b/src/main/java/quotagateway/scale/soak/FaultyEndpoints.java
@@ -20,14 +20,14 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import quotagateway.scale.Answers;
-import quotagateway.scale.Loops;
+import quotagateway.scale.RespStandInHandler;
+import quotagateway.scale.StandInLoops;
 
 /**
  * Place servers that misbehave on demand, and keep a record of each attempt. Each has an address of 127/8 of
  * its own before one listener.
  */
-final class FaultyServers implements AutoCloseable {
+final class FaultyEndpoints implements AutoCloseable {
     /** How a server behaves, from its next request or connection on. */
     enum Behaviour {
         /** Answers after its service time. */
@@ -59,18 +59,18 @@
     private final List<ChannelGroup> connections = new ArrayList<>();
     private final Map<String, List<Execution>> executions = new ConcurrentHashMap<>();
 
-    FaultyServers(EventLoopGroup group, RunClock clock, int size) throws InterruptedException {
+    FaultyEndpoints(EventLoopGroup group, RunClock clock, int size) throws InterruptedException {
         this.clock = clock;
         behaviour = new AtomicReferenceArray<>(size);
         for (int i = 0; i < size; i++) {
             behaviour.set(i, Behaviour.WELL);
             connections.add(new DefaultChannelGroup(ImmediateEventExecutor.INSTANCE));
         }
-        listener = Loops.listen(group, new InetSocketAddress("0.0.0.0", 0), this::handlers);
+        listener = StandInLoops.listen(group, new InetSocketAddress("0.0.0.0", 0), this::handlers);
     }
 
     private List<ChannelHandler> handlers() {
-        List<ChannelHandler> handlers = Loops.resp();
+        List<ChannelHandler> handlers = StandInLoops.resp();
         handlers.add(new Connection());
         return handlers;
     }
@@ -79,7 +79,7 @@
     String dial(int server) {
         int at = FIRST + server;
         return (at >>> 24) + "." + (at >> 16 & 255) + "." + (at >> 8 & 255) + "." + (at & 255) + ":"
-                + Loops.port(listener);
+                + StandInLoops.port(listener);
     }
 
     private static int number(InetSocketAddress local) {
@@ -103,7 +103,7 @@
 
     /** Resets each connection that is open to a server. */
     void resetAll(int server) {
-        connections.get(server).forEach(FaultyServers::reset);
+        connections.get(server).forEach(FaultyEndpoints::reset);
     }
 
     /** The attempts of a request so far. */
@@ -122,7 +122,7 @@
         connections.forEach(ChannelGroup::close);
     }
 
-    private final class Connection extends Answers {
+    private final class Connection extends RespStandInHandler {
         private final Set<Execution> out = ConcurrentHashMap.newKeySet();
         private int server = -1;
 
@@ -167,7 +167,7 @@
         }
 
         private void react(ChannelHandlerContext ctx, Behaviour now, Execution execution, Consumer<String> answer) {
-            String value = "*3\r\n" + Loops.bulk("made for " + execution.request) + "$-1\r\n$-1\r\n";
+            String value = "*3\r\n" + StandInLoops.bulk("made for " + execution.request) + "$-1\r\n$-1\r\n";
             switch (now) {
                 case FAIL -> answer.accept("-ERR failed\r\n");
                 case BUSY -> answer.accept("-BUSY\r\n");
--- a/src/main/java/quotagateway/scale/soak/NodeSlot.java
+++ b/src/main/java/quotagateway/scale/soak/NodeSlot.java
@@ -49,10 +49,10 @@
     private final Path log;
     private final SplittableRandom random;
     private final ReentrantLock changing = new ReentrantLock();
-    private final List<ProcessLife> lives = new ArrayList<>();
+    private final List<ProcessLifetime> lives = new ArrayList<>();
     private final List<NodeProcess> processes = new ArrayList<>();
     private volatile NodeProcess current;
-    private volatile ProcessLife life;
+    private volatile ProcessLifetime life;
     /** Until then (ms of the run) clients make new connections. */
     private volatile double connectsUntil = Double.NEGATIVE_INFINITY;
 
@@ -87,7 +87,7 @@
         return life == null ? 0 : life.number;
     }
 
-    synchronized List<ProcessLife> lives() {
+    synchronized List<ProcessLifetime> lives() {
         return List.copyOf(lives);
     }
 
@@ -122,7 +122,7 @@
         Map<String, String> environment =
                 new HashMap<>(NodeLaunch.environment("n" + number, addresses(), configure(), temporary));
         environment.put("EDGE_LOG", "all");
-        ProcessLife next = new ProcessLife(number, lives.size(), platform.clock.now());
+        ProcessLifetime next = new ProcessLifetime(number, lives.size(), platform.clock.now());
         NodeProcess process =
                 NodeProcess.start(NodeLaunch.command(platform.root), platform.root, environment, log, address);
         synchronized (this) {
@@ -140,7 +140,7 @@
     }
 
     private void ready() throws InterruptedException {
-        ProcessLife of = life;
+        ProcessLifetime of = life;
         if (current.awaitReady(READY_WITHIN)) {
             of.ready = platform.clock.now();
             connectsUntil = Double.POSITIVE_INFINITY;
@@ -193,7 +193,7 @@
     void upgrade() throws IOException, InterruptedException {
         exclusively(() -> {
             NodeProcess before = current;
-            ProcessLife lifeBefore = life;
+            ProcessLifetime lifeBefore = life;
             int binds = binds();
             launch(false);
             double end = platform.clock.now() + READY_WITHIN;
@@ -212,7 +212,7 @@
         return log().split(" bind ", -1).length;
     }
 
-    private void terminate(NodeProcess process, ProcessLife of, boolean last) throws InterruptedException {
+    private void terminate(NodeProcess process, ProcessLifetime of, boolean last) throws InterruptedException {
         checkAlive(process, of);
         of.terminated = platform.clock.now();
         if (last) {
@@ -232,7 +232,7 @@
         of.ended = platform.clock.now();
     }
 
-    private void checkAlive(NodeProcess process, ProcessLife of) {
+    private void checkAlive(NodeProcess process, ProcessLifetime of) {
         if (!process.isAlive()) {
             platform.faults.fault("crash", "exit code " + process.exitCode() + ": " + of);
         }
--- a/src/main/java/quotagateway/scale/soak/Oracle.java
+++ b/src/main/java/quotagateway/scale/soak/Oracle.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import quotagateway.policy.api.Idempotency;
 import quotagateway.policy.api.RetryScope;
-import quotagateway.scale.Servers;
+import quotagateway.scale.EndpointInventory;
 
 /**
  * Holds what clients and place servers saw against the protocol page's rules. It knows the faults of the run,
@@ -37,24 +37,24 @@
     record Seen(
             List<ClientRequest> requests,
             Function<String, List<Execution>> executions,
-            Map<Integer, List<ProcessLife>> lives,
-            List<ServerNews> news,
+            Map<Integer, List<ProcessLifetime>> lives,
+            List<EndpointChange> news,
             List<double[]> discoveryFaults,
             DoubleUnaryOperator lag) {}
 
     private final Seen seen;
-    private final Servers servers;
+    private final EndpointInventory servers;
     private final double drainGrace;
     private final List<Violation> violations = new ArrayList<>();
 
-    private Oracle(Seen seen, Servers servers, double drainGrace) {
+    private Oracle(Seen seen, EndpointInventory servers, double drainGrace) {
         this.seen = seen;
         this.servers = servers;
         this.drainGrace = drainGrace;
     }
 
     /** All rules that were broken. */
-    static List<Violation> check(Seen seen, Servers servers, double drainGrace) {
+    static List<Violation> check(Seen seen, EndpointInventory servers, double drainGrace) {
         Oracle oracle = new Oracle(seen, servers, drainGrace);
         for (ClientRequest request : seen.requests) {
             List<Execution> attempts = new ArrayList<>(seen.executions.apply(request.id));
@@ -77,7 +77,7 @@
                     "%n    at s%d began %.0f ended %.0f patience %.0f ran %s",
                     a.server, a.began, a.ended, a.patience, a.ran));
         }
-        for (ProcessLife life : seen.lives.getOrDefault(request.node, List.of())) {
+        for (ProcessLifetime life : seen.lives.getOrDefault(request.node, List.of())) {
             what.append(String.format("%n    %s", life));
         }
         violations.add(new Violation(rule, what.toString()));
@@ -100,7 +100,7 @@
     }
 
     private void connectionEnded(ClientRequest r, List<Execution> attempts) {
-        for (ProcessLife life : seen.lives.getOrDefault(r.node, List.of())) {
+        for (ProcessLifetime life : seen.lives.getOrDefault(r.node, List.of())) {
             boolean atKill = r.ended > life.killed - KILL_BEFORE && r.ended < life.killed + KILL_BEHIND;
             if (atKill && life.isKilledOutright()) {
                 return;
@@ -169,7 +169,7 @@
             } else if (a.patience > r.deadline() - a.began + PATIENCE_SLACK + slack(a.began)) {
                 broken("deadline, told more than is left", r, attempts);
             }
-            for (ServerNews news : seen.news) {
+            for (EndpointChange news : seen.news) {
                 if (news.server() == a.server
                         && a.began < news.until()
                         && a.began
@@ -181,7 +181,7 @@
     }
 
     /** At once where discovery was well for long before; else as the page allows. */
-    private double toldWithin(ServerNews news, Execution a) {
+    private double toldWithin(EndpointChange news, Execution a) {
         double last = Double.NEGATIVE_INFINITY;
         for (double[] fault : seen.discoveryFaults) {
             if (fault[0] < a.began && fault[1] > news.from() - TOLD_WITHIN) {
--- a/src/main/java/quotagateway/scale/soak/ProcessLife.java
+++ b/src/main/java/quotagateway/scale/soak/ProcessLifetime.java
@@ -1,7 +1,7 @@
 package quotagateway.scale.soak;
 
 /** The life of one process of a node; times are milliseconds of the run, infinite until they come. */
-final class ProcessLife {
+final class ProcessLifetime {
     final int node;
     final int number;
     final double started;
@@ -12,7 +12,7 @@
 
     double ended = Double.POSITIVE_INFINITY;
 
-    ProcessLife(int node, int number, double started) {
+    ProcessLifetime(int node, int number, double started) {
         this.node = node;
         this.number = number;
         this.started = started;
--- a/src/main/java/quotagateway/scale/soak/SoakCommand.java
+++ b/src/main/java/quotagateway/scale/soak/SoakCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import quotagateway.scale.NodeLaunch;
-import quotagateway.scale.Refused;
+import quotagateway.scale.RunNotPossibleException;
 
 /** The fault soak on the command line: a run for each seed, and exit code 1 where a rule was broken. */
 @Command(
@@ -75,7 +75,7 @@
 
     private static void require(boolean holds, String what) {
         if (!holds) {
-            throw new Refused(what);
+            throw new RunNotPossibleException(what);
         }
     }
 
--- a/src/main/java/quotagateway/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import quotagateway.scale.AgentStandIn;
 import quotagateway.scale.CounterStandIn;
-import quotagateway.scale.Loops;
-import quotagateway.scale.Servers;
-import quotagateway.scale.Site;
+import quotagateway.scale.DiscoveryStandIn;
+import quotagateway.scale.EndpointInventory;
+import quotagateway.scale.ScaleSettings;
+import quotagateway.scale.StandInLoops;
 
 /** One run of the soak: real processes, clients, faults that overlap, and the oracle's verdict. */
 final class SoakRun {
@@ -82,8 +82,8 @@
     }
 
     Report run(long seed) throws Exception {
-        EventLoopGroup standIns = Loops.one();
-        EventLoopGroup load = Loops.one();
+        EventLoopGroup standIns = StandInLoops.one();
+        EventLoopGroup load = StandInLoops.one();
         lag.measure(standIns);
         lag.measure(load);
         try {
@@ -101,14 +101,14 @@
     private Report run(long seed, EventLoopGroup standIns, EventLoopGroup load) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         SoakSettings settings = new SoakSettings(size.nodes, random);
-        Servers names = new Servers(size.servers, SoakSettings.zones());
-        FaultyServers servers = opened(new FaultyServers(standIns, clock, size.servers));
-        AgentStandIn agent = opened(new AgentStandIn(
+        EndpointInventory names = new EndpointInventory(size.servers, SoakSettings.zones());
+        FaultyEndpoints servers = opened(new FaultyEndpoints(standIns, clock, size.servers));
+        DiscoveryStandIn agent = opened(new DiscoveryStandIn(
                 standIns,
                 0,
                 names,
                 servers::dial,
-                new AgentStandIn.Form(random.nextBoolean(), random.nextBoolean()),
+                new DiscoveryStandIn.ListFormat(random.nextBoolean(), random.nextBoolean()),
                 random.nextLong()));
         CounterStandIn counter = opened(new CounterStandIn(standIns, 0, COUNTER_PER_SECOND, 1));
         List<FaultProxy> discoveryProxies = proxies(agent.port());
@@ -193,18 +193,18 @@
             long seed,
             SoakSettings settings,
             int faultCount,
-            Servers names,
-            FaultyServers servers,
+            EndpointInventory names,
+            FaultyEndpoints servers,
             FaultInjector injector,
             List<ClientRequest> requests)
             throws IOException {
-        Map<Integer, List<ProcessLife>> lives = new HashMap<>();
+        Map<Integer, List<ProcessLifetime>> lives = new HashMap<>();
         nodes.forEach(node -> lives.put(node.number, node.lives()));
         List<Violation> violations = new ArrayList<>(faults);
         for (Violation found : Oracle.check(
                 new Oracle.Seen(requests, servers::of, lives, injector.news(), injector.discoveryFaults(), lag::at),
                 names,
-                Site.DRAIN_GRACE)) {
+                ScaleSettings.DRAIN_GRACE)) {
             violations.add(withLog(found, requests));
         }
         violations.addAll(processes(lives));
@@ -239,10 +239,11 @@
     }
 
     /** Starts, and what the nodes' own checks found. */
-    private List<Violation> processes(Map<Integer, List<ProcessLife>> lives) throws IOException {
+    private List<Violation> processes(Map<Integer, List<ProcessLifetime>> lives) throws IOException {
         List<Violation> violations = new ArrayList<>();
-        List<ProcessLife> all = lives.values().stream().flatMap(List::stream).toList();
-        List<ProcessLife> late =
+        List<ProcessLifetime> all =
+                lives.values().stream().flatMap(List::stream).toList();
+        List<ProcessLifetime> late =
                 all.stream().filter(l -> l.ready - l.started > READY_SOON).toList();
         if (late.size() * 10 > all.size()) {
             violations.add(new Violation("start", late.size() + " of " + all.size() + " are ready late"));
--- a/src/main/java/quotagateway/scale/soak/SoakSettings.java
+++ b/src/main/java/quotagateway/scale/soak/SoakSettings.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import quotagateway.config.SettingsReader;
 import quotagateway.policy.api.RequestClass;
-import quotagateway.scale.Site;
+import quotagateway.scale.ScaleSettings;
 
 /**
  * A deployment drawn from a seed: deadlines from half a second to four, windows shorter and longer than they
@@ -48,7 +48,7 @@
 
     /** The settings of the node with this number, by path. */
     Map<String, String> keys(int node) {
-        Map<String, String> keys = Site.keys(node, nodes, ZONES);
+        Map<String, String> keys = ScaleSettings.keys(node, nodes, ZONES);
         for (int i = 0; i < deadlines.length; i++) {
             String at = "request_classes." + i + ".";
             keys.put(at + "hard_limit", Integer.toString(deadlines[i]));
--- a/src/test/java/quotagateway/scale/FitTest.java
+++ b/src/test/java/quotagateway/scale/LinearFitTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FitTest {
+class LinearFitTest {
     private static List<double[]> points(double... y) {
         return List.of(new double[] {1, y[0]}, new double[] {2, y[1]}, new double[] {3, y[2]}, new double[] {4, y[3]});
     }
 
     @Test
     void aLineIsFoundWithNoResidual() {
-        Fit fit = Fit.of(points(5, 7, 9, 11));
+        LinearFit fit = LinearFit.of(points(5, 7, 9, 11));
         assertEquals(2, fit.slope(), 1e-9);
         assertEquals(3, fit.intercept(), 1e-9);
         assertEquals(0, fit.residual(), 1e-9);
@@ -21,15 +21,15 @@
 
     @Test
     void theResidualIsTheRootMeanSquare() {
-        Fit fit = Fit.of(points(1, -1, -1, 1));
+        LinearFit fit = LinearFit.of(points(1, -1, -1, 1));
         assertEquals(0, fit.slope(), 1e-9);
         assertEquals(1, fit.residual(), 1e-9);
     }
 
     @Test
     void fewerThanFourPointsOrOnePlaceMakeNoSlope() {
-        assertNull(Fit.of(points(1, 2, 3, 4).subList(0, 3)));
-        assertNull(Fit.of(java.util.Collections.nCopies(4, new double[] {1, 1})));
+        assertNull(LinearFit.of(points(1, 2, 3, 4).subList(0, 3)));
+        assertNull(LinearFit.of(java.util.Collections.nCopies(4, new double[] {1, 1})));
     }
 
     @Test
--- a/src/test/java/quotagateway/scale/FleetTest.java
+++ b/src/test/java/quotagateway/scale/SimulatedFleetTest.java
@@ -12,22 +12,22 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointState;
 
-class FleetTest {
-    private final Shape shape = new Shape();
+class SimulatedFleetTest {
+    private final FleetOptions shape = new FleetOptions();
 
     @BeforeEach
     void defaults() {
         CommandLine.populateCommand(shape, "--notice-ms", "100,300");
     }
 
-    private Fleet fleet(int nodes, long seed) {
-        Fleet fleet = new Fleet(shape, nodes, seed, () -> {});
+    private SimulatedFleet fleet(int nodes, long seed) {
+        SimulatedFleet fleet = new SimulatedFleet(shape, nodes, seed, () -> {});
         fleet.start();
         fleet.run(3000);
         return fleet;
     }
 
-    private static String figures(Fleet f) {
+    private static String figures(SimulatedFleet f) {
         return Arrays.toString(Arrays.stream(f.hosts).mapToLong(h -> h.got).toArray())
                 + f.served()
                 + ' '
@@ -44,9 +44,9 @@
 
     @Test
     void eachRequestEndsOnce() {
-        Fleet f = fleet(4, 1);
+        SimulatedFleet f = fleet(4, 1);
         f.latency.reset();
-        f.run(Site.DEADLINE + 100);
+        f.run(ScaleSettings.DEADLINE + 100);
         long ended = f.ended();
         assertTrue(f.arrivals() - ended >= 0, f.arrivals() + " came, " + ended + " ended");
         assertTrue(f.arrivals() - ended < shape.rate * 4, "no more open than a second brings");
@@ -56,7 +56,7 @@
     /** What is silent or refuses gets no work done, and what drains gets none once all have heard. */
     @Test
     void troublesReachTheNodes() {
-        Fleet f = fleet(3, 1);
+        SimulatedFleet f = fleet(3, 1);
         f.change(List.of(f.servers.entry(0, EndpointState.DRAINING, 0)));
         f.run(shape.notice[1] + 1);
         long before = f.hosts[0].got;
@@ -66,7 +66,7 @@
         f.change(List.of(f.servers.entry(0, EndpointState.UP, 0)));
         f.run(3000);
         assertEquals(before, f.hosts[0].got, "discovery is silent");
-        f.hosts[1].end(HollowServer.Life.SILENT);
+        f.hosts[1].end(SimulatedEndpoint.Availability.SILENT);
         long got = f.hosts[1].got;
         f.run(3000);
         assertEquals(got, f.hosts[1].got);
@@ -75,7 +75,7 @@
     @Test
     void aColdServerIsSlowAtFirst() {
         VirtualClock clock = new VirtualClock(0);
-        HollowServer host = new HollowServer(new HollowServer.Kind(1, 0, 10), clock);
+        SimulatedEndpoint host = new SimulatedEndpoint(new SimulatedEndpoint.Capacity(1, 0, 10), clock);
         double[] done = new double[2];
         host.take(10, () -> done[0] = clock.now());
         clock.to(1000, () -> {});
@@ -84,14 +84,14 @@
         assertEquals(CallOutcome.FULL, host.take(10, () -> {}));
         clock.to(2000, () -> {});
         assertEquals(10, done[0]);
-        assertEquals(1000 + 10 / Site.COLD_SHARE, done[1], 1e-6);
+        assertEquals(1000 + 10 / ScaleSettings.COLD_SHARE, done[1], 1e-6);
     }
 
     @Test
     void theCountersLineMakesLateCallsTimeOut() {
-        Fleet f = new Fleet(shape, 1, 1, () -> {});
+        SimulatedFleet f = new SimulatedFleet(shape, 1, 1, () -> {});
         f.nodes[0].start(1);
-        int most = (int) (Site.COUNTER_TIMEOUT * shape.counterRate / 1000);
+        int most = (int) (ScaleSettings.COUNTER_TIMEOUT * shape.counterRate / 1000);
         for (int i = 0; i < 2 * most; i++) {
             f.nodes[0].addToCounter(i, 1, 1000);
         }
--- a/src/test/java/quotagateway/scale/StandInTest.java
+++ b/src/test/java/quotagateway/scale/StandInTest.java
@@ -20,7 +20,7 @@
 /** The stand-ins speak as the protocol page says. */
 @Timeout(30)
 class StandInTest {
-    private final EventLoopGroup group = Loops.one();
+    private final EventLoopGroup group = StandInLoops.one();
 
     /** A connection to a stand-in; what comes is read by the line or as text. */
     private static final class Line implements AutoCloseable {
@@ -76,16 +76,21 @@
                 + "\"class\":\"m\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    private AgentStandIn agent(boolean torn, boolean indented) throws InterruptedException {
-        return new AgentStandIn(
-                group, 0, new Servers(2, 1), StandInTest::dial, new AgentStandIn.Form(torn, indented), 1);
+    private DiscoveryStandIn agent(boolean torn, boolean indented) throws InterruptedException {
+        return new DiscoveryStandIn(
+                group,
+                0,
+                new EndpointInventory(2, 1),
+                StandInTest::dial,
+                new DiscoveryStandIn.ListFormat(torn, indented),
+                1);
     }
 
     @Test
     void theAgentTellsTheWholeListAndThenItsChanges() throws Exception {
         String whole = "{\"seq\":1,\"whole\":true,\"hosts\":[" + entry(0, "active") + ',' + entry(1, "active") + "]}";
         String left = "{\"seq\":2,\"whole\":false,\"hosts\":[" + entry(1, "left") + "]}";
-        try (AgentStandIn agent = agent(false, false);
+        try (DiscoveryStandIn agent = agent(false, false);
                 Line line = to(agent.port())) {
             line.write("GET /catalog/members HTTP/1.1\r\nhost: a\r\n\r\n");
             assertTrue(line.until("]}").endsWith("content-length: " + (whole.length() + 1) + "\r\n\r\n" + whole));
@@ -106,7 +111,7 @@
 
     @Test
     void tornAndIndentedItIsTheSameList() throws Exception {
-        try (AgentStandIn agent = agent(true, true);
+        try (DiscoveryStandIn agent = agent(true, true);
                 Line line = to(agent.port())) {
             line.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nhost: a\r\n\r\n");
             line.until("\r\n\r\n");
@@ -129,7 +134,7 @@
 
     @Test
     void whatChangesWhileItIsSilentIsNotPushed() throws Exception {
-        try (AgentStandIn agent = agent(false, false);
+        try (DiscoveryStandIn agent = agent(false, false);
                 Line watch = to(agent.port())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             watch.until("]}");
@@ -146,12 +151,12 @@
     void theCounterAddsAndRefusesWhatIsNoCall() throws Exception {
         try (CounterStandIn counter = new CounterStandIn(group, 0, 1000, 0);
                 Line line = to(counter.port())) {
-            line.write(Loops.command("CNT.ADD", "7", "2.5", "4000")
-                    + Loops.command("CNT.ADD", "7", "-1", "4000")
-                    + Loops.command("PING")
-                    + Loops.command("CNT.ADD", "7", "x", "1")
-                    + Loops.command("CNT.ADD", "7", "1", "0")
-                    + Loops.command("SELECT", "0"));
+            line.write(StandInLoops.command("CNT.ADD", "7", "2.5", "4000")
+                    + StandInLoops.command("CNT.ADD", "7", "-1", "4000")
+                    + StandInLoops.command("PING")
+                    + StandInLoops.command("CNT.ADD", "7", "x", "1")
+                    + StandInLoops.command("CNT.ADD", "7", "1", "0")
+                    + StandInLoops.command("SELECT", "0"));
             String bulk = "$8\r\n2.500000\r\n$8\r\n1.500000\r\n";
             assertEquals(bulk + "+PONG\r\n-ERR no such call\r\n-ERR no such call\r\n+OK\r\n", line.until("+OK\r\n"));
             assertEquals(2, counter.calls.get());
@@ -161,23 +166,23 @@
     @Test
     void placeServersShareAListenerAndAreToldApartByAddress() throws Exception {
         String list = "c=read,t=p,d=200,units=1,spread=1,first=0";
-        try (PlaceServers place = new PlaceServers(group, 300, 0, 0)) {
+        try (EndpointStandIns place = new EndpointStandIns(group, 300, 0, 0)) {
             assertEquals("127.16.1.4:" + place.port(), place.dial(260));
-            try (Line line = new Line(PlaceServers.address(260), place.port())) {
-                line.write(Loops.command("CALL.GET", "00000000b4d65521", "1", list));
+            try (Line line = new Line(EndpointStandIns.address(260), place.port())) {
+                line.write(StandInLoops.command("CALL.GET", "00000000b4d65521", "1", list));
                 assertEquals("*3", line.line());
                 assertTrue(line.until("$-1\r\n$-1\r\n").contains("held="));
                 assertEquals(1, place.open.get(260));
-                line.write(Loops.command("CALL.GET", "00000000b4d65521", "1", "d=soon")
-                        + Loops.command("INFO", "load")
-                        + Loops.command("CLIENT", "ID")
-                        + Loops.command("HELLO", "3"));
+                line.write(StandInLoops.command("CALL.GET", "00000000b4d65521", "1", "d=soon")
+                        + StandInLoops.command("INFO", "load")
+                        + StandInLoops.command("CLIENT", "ID")
+                        + StandInLoops.command("HELLO", "3"));
                 assertEquals(
                         "-SYNTAX -NOPERM +OK -ERR unknown command",
                         line.line() + ' ' + line.line() + ' ' + line.line() + ' ' + line.line());
             }
             assertEquals(1, place.got.get(260));
-            try (Line other = new Line(PlaceServers.address(300), place.port())) {
+            try (Line other = new Line(EndpointStandIns.address(300), place.port())) {
                 assertEquals(-1, other.in.read(), "no server has this address");
             }
         }
--- a/src/test/java/quotagateway/scale/capacity/CapacityTablesTest.java
+++ b/src/test/java/quotagateway/scale/capacity/CapacityTablesTest.java
@@ -80,8 +80,9 @@
     @Test
     void theProgramsConstantsAreTheProgramsOwn() throws Exception {
         int seen = 0;
-        for (Doc d :
-                Doc.read(Path.of("docs/capacity/model.json")).get("quantities").list()) {
+        for (LocatedJson d : LocatedJson.read(Path.of("docs/capacity/model.json"))
+                .get("quantities")
+                .list()) {
             if (d.has("field")) {
                 String path = d.get("field").text();
                 int dot = path.lastIndexOf('.');
@@ -167,12 +168,13 @@
     /** Whole numbers as they are, and always with a point. */
     @Test
     void unitsSuitTheSize() {
-        assertEquals("29.8 MB", Figure.of(29_812_345).text("B"));
-        assertEquals("1 KB/s", Figure.of(999.9).text("B/s"));
-        assertEquals("1,024", Figure.of(1024).text(""));
-        assertEquals("18.2 min", Figure.of(1093.3).text("s"));
-        assertEquals("<0.1%", Figure.percent(0.0001));
-        assertEquals("without bound", Figure.of(1).with(1 / 0.0, Figure.of(0)).text("B"));
+        assertEquals("29.8 MB", Estimate.of(29_812_345).text("B"));
+        assertEquals("1 KB/s", Estimate.of(999.9).text("B/s"));
+        assertEquals("1,024", Estimate.of(1024).text(""));
+        assertEquals("18.2 min", Estimate.of(1093.3).text("s"));
+        assertEquals("<0.1%", Estimate.percent(0.0001));
+        assertEquals(
+                "without bound", Estimate.of(1).with(1 / 0.0, Estimate.of(0)).text("B"));
     }
 
     @Test
--- a/src/test/java/quotagateway/scale/soak/OracleTest.java
+++ b/src/test/java/quotagateway/scale/soak/OracleTest.java
@@ -9,7 +9,7 @@
 import quotagateway.policy.api.Idempotency;
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
-import quotagateway.scale.Servers;
+import quotagateway.scale.EndpointInventory;
 
 /** The oracle sees each broken rule, and excuses what the protocol page excuses and no more. */
 class OracleTest {
@@ -17,8 +17,8 @@
     private static final double GRACE = 250;
 
     private final List<Execution> attempts = new ArrayList<>();
-    private final List<ProcessLife> lives = new ArrayList<>();
-    private final List<ServerNews> news = new ArrayList<>();
+    private final List<ProcessLifetime> lives = new ArrayList<>();
+    private final List<EndpointChange> news = new ArrayList<>();
     private final List<double[]> discoveryFaults = new ArrayList<>();
     private double lag;
 
@@ -37,8 +37,8 @@
         attempts.add(attempt);
     }
 
-    private ProcessLife life(double terminated, double killed) {
-        ProcessLife life = new ProcessLife(0, 0, 0);
+    private ProcessLifetime life(double terminated, double killed) {
+        ProcessLifetime life = new ProcessLifetime(0, 0, 0);
         life.terminated = terminated;
         life.killed = killed;
         lives.add(life);
@@ -49,7 +49,7 @@
         return Oracle.check(
                         new Oracle.Seen(
                                 List.of(request), id -> attempts, Map.of(0, lives), news, discoveryFaults, at -> lag),
-                        new Servers(30, 3),
+                        new EndpointInventory(30, 3),
                         GRACE)
                 .stream()
                 .map(Violation::rule)
@@ -99,7 +99,7 @@
     @Test
     void aKillWithNoWordExcusesAndAnEarlierOneDoesNot() {
         attempt(1, 10_010, 10_800, true);
-        ProcessLife life = life(Double.POSITIVE_INFINITY, 10_800);
+        ProcessLifetime life = life(Double.POSITIVE_INFINITY, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
         life.killed = 9000;
         assertEquals(List.of("lost, forwarded and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
@@ -108,7 +108,7 @@
     @Test
     void theKillOfAShutdownExcusesWhatCameSoonAfterTheSignal() {
         attempt(1, 10_010, 10_800, true);
-        ProcessLife life = life(9_400, 10_800);
+        ProcessLifetime life = life(9_400, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
         life.terminated = 9_200;
         assertEquals(List.of("lost at the kill of a shutdown"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
@@ -161,13 +161,13 @@
     @Test
     void aDrainingServerGetsNothingNew() {
         attempt(1, 10_010, 10_100, true);
-        news.add(new ServerNews(1, 9_400, 20_000));
+        news.add(new EndpointChange(1, 9_400, 20_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "within the grace and a hold-up");
-        news.set(0, new ServerNews(1, 9_000, 20_000));
+        news.set(0, new EndpointChange(1, 9_000, 20_000));
         assertEquals(List.of("drain, sent to s1 told of at 9000"), rules(ClientRequest.End.SERVED, 10_110));
-        news.set(0, new ServerNews(1, 9_000, 10_000));
+        news.set(0, new EndpointChange(1, 9_000, 10_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "it was back");
-        news.set(0, new ServerNews(1, 9_000, 20_000));
+        news.set(0, new EndpointChange(1, 9_000, 20_000));
         discoveryFaults.add(new double[] {8_500, 9_500});
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "discovery could not be reached");
     }
