--- a/src/test/java/quotagateway/node/DescriptorLimitTest.java
+++ b/src/test/java/quotagateway/node/DescriptorLimitTest.java
@@ -131,6 +131,25 @@
         return node;
     }
 
+    private void connectIdleClients() throws Exception {
+        for (int i = 0; i < DESCRIPTORS; i++) { // each sends one request, and then idles
+            Peer.Connection idle = connectClient();
+            idle.sendCommand("PING");
+            assertEquals(List.of("+PONG"), idle.readMessage());
+        }
+        for (int i = 0; i < DESCRIPTORS; i++) {
+            connectClient(); // sends nothing at all
+        }
+    }
+
+    private String listOfMoreEndpointsThanConnections() {
+        List<String> entries = new ArrayList<>();
+        for (int i = 1; i <= DESCRIPTORS; i++) {
+            entries.add(NodeFixture.entry("s" + i, otherEndpoint.address(), "active"));
+        }
+        return NodeFixture.list(42, true, entries.toArray(new String[0]));
+    }
+
     /** Clients fill what they may while discovery is away and the counter breaks off: both must be reached again. */
     @Test
     void idleClientsLeaveDescriptorsForTheNodeItself() throws Exception {
@@ -147,14 +166,7 @@
             discovery.close();
             watch.close();
             int freedPort = discovery.port();
-            for (int i = 0; i < DESCRIPTORS; i++) { // each sends one request, and then idles
-                Peer.Connection idle = connectClient();
-                idle.sendCommand("PING");
-                assertEquals(List.of("+PONG"), idle.readMessage());
-            }
-            for (int i = 0; i < DESCRIPTORS; i++) {
-                connectClient(); // sends nothing at all
-            }
+            connectIdleClients();
             for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
                 connections[i].close();
             }
@@ -163,11 +175,7 @@
             }
             Peer newDiscovery = new Peer(freedPort);
             closeables.add(newDiscovery);
-            List<String> entries = new ArrayList<>();
-            for (int i = 1; i <= DESCRIPTORS; i++) { // more endpoints than may have connections
-                entries.add(NodeFixture.entry("s" + i, otherEndpoint.address(), "active"));
-            }
-            answerWatch(newDiscovery.awaitConnection(), NodeFixture.list(42, true, entries.toArray(new String[0])));
+            answerWatch(newDiscovery.awaitConnection(), listOfMoreEndpointsThanConnections());
             CountDownLatch endpointReached = new CountDownLatch(1);
             respondOnAll(otherEndpoint, endpointReached);
             assertTrue(endpointReached.await(10, TimeUnit.SECONDS)); // so the list was read
--- /dev/null
+++ b/src/test/java/quotagateway/node/ListenerLifecycleTest.java
@@ -0,0 +1,147 @@
+package quotagateway.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoopGroup;
+import io.netty.handler.codec.redis.ArrayRedisMessage;
+import java.net.ConnectException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.SocketException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import quotagateway.client.ClientListener;
+import quotagateway.client.ClientRequestHandler;
+import quotagateway.client.ResponseSlot;
+import quotagateway.lifecycle.CloseReason;
+import quotagateway.log.NodeEvent;
+import quotagateway.streaming.RequestBody;
+import quotagateway.transport.Transport;
+
+/** The listener of a node at its two ends: a client that comes at once, and those that come in a shutdown. */
+class ListenerLifecycleTest extends NodeFixture {
+    /** Behind SIGTERM clients still connect for a while; all requests are answered, and then the node ends. */
+    @Test
+    void nodeAnswersOpenRequestsBeforeItEnds() throws Exception {
+        start();
+        Peer.Connection idle = connectClient();
+        idle.sendCommand("PING");
+        idle.readMessage();
+        Peer.Connection busy = connectClient();
+        sendGet(busy, "01", "read", 2500);
+        expectRequest(1, "read");
+        endpointConnection.readMessage();
+        drained = true;
+        Thread draining = new Thread(node::drain);
+        draining.start();
+        Peer.Connection late = connectClient();
+        sendGet(late, "02", "refuse", 900);
+        assertEquals(List.of("-BUSY 1500"), late.readMessage());
+        assertTrue(idle.awaitEnd());
+        assertTrue(late.awaitEnd());
+        idle.close();
+        late.close();
+        endpointConnection.sendValue("v");
+        assertEquals(List.of("v"), busy.readMessage());
+        assertTrue(busy.awaitEnd());
+        busy.close();
+        draining.join();
+        assertThrows(ConnectException.class, this::connectClient);
+    }
+
+    /** Stands behind a listener whose clients send no requests. */
+    private static final class PingOnly implements ClientRequestHandler {
+        @Override
+        public String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body) {
+            throw new IllegalStateException("no request is expected");
+        }
+
+        @Override
+        public boolean isMemoryExhausted() {
+            return false;
+        }
+
+        @Override
+        public boolean mayListen() {
+            return true;
+        }
+
+        @Override
+        public boolean mayClose(CloseReason reason, int openRequests) {
+            return true;
+        }
+
+        @Override
+        public void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed) {}
+    }
+
+    /**
+     * A client may connect before bind has returned to its caller, and must be served. Here bind never returns, as its
+     * caller is interrupted.
+     */
+    @Test
+    void clientThatComesBeforeBindReturnsIsServed() throws Exception {
+        start();
+        InetSocketAddress address;
+        try (ServerSocket free = new ServerSocket(0)) {
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+        }
+        EventLoopGroup group = Transport.newEventLoop();
+        try {
+            Thread.currentThread().interrupt();
+            assertThrows(
+                    InterruptedException.class,
+                    () -> new ClientListener(node.eventLoop(), new PingOnly(), 8).bind(group, address));
+            group.submit(() -> {}).sync(); // behind the bind, which is left to the event loop
+            group.submit(() -> {}).sync();
+            try (Peer.Connection connection = Peer.Connection.connect(address.getPort())) {
+                connection.sendCommand("PING");
+                assertEquals(List.of("+PONG"), connection.readMessage());
+            }
+        } finally {
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        }
+    }
+
+    /** A response that a slow client has not read yet is not cut off when the node closes its side. */
+    @Test
+    void longResponseIsWholeForASlowReaderInAShutdown() throws Exception {
+        maxSockets = 1024;
+        start();
+        Peer.Connection client = connectClient();
+        String value = "v".repeat(64 * 1024);
+        int calls = 140; // more than fits into the sockets' buffers
+        List<Peer.Connection> connections = new ArrayList<>();
+        for (int i = 0; i < calls; i++) {
+            sendGet(client, "0" + i, "read", 20_000);
+            connections.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
+            connections.get(i).readMessage();
+        }
+        for (Peer.Connection connection : connections) {
+            connection.sendValue(value);
+        }
+        drained = true;
+        Thread draining = new Thread(node::drain);
+        draining.start();
+        assertThrows(
+                SocketException.class,
+                () -> { // refused, or reset where the end crosses a connect
+                    while (draining.isAlive()) {
+                        connectClient()
+                                .close(); // until it listens no more: by then the connections have been ended too
+                    }
+                });
+        assertThrows(ConnectException.class, this::connectClient);
+        for (int i = 0; i < calls; i++) {
+            assertEquals(List.of(value), client.readMessage());
+        }
+        assertTrue(client.awaitEnd());
+        client.close();
+        draining.join();
+    }
+}
--- a/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
+++ b/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
@@ -5,6 +5,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
 /** Responses of endpoints and of the counter that are malformed, or have more behind them. */
@@ -162,23 +166,32 @@
         }
     }
 
+    /** Collects what the network library logs. */
+    private static final class WarningCollector extends Handler {
+        private final List<String> messages;
+
+        WarningCollector(List<String> messages) {
+            this.messages = messages;
+        }
+
+        @Override
+        public void publish(LogRecord record) {
+            messages.add(record.getMessage());
+        }
+
+        @Override
+        public void flush() {}
+
+        @Override
+        public void close() {}
+    }
+
     /** The codec reports half an array behind the end of its connection: no exception may leave the handler. */
     @Test
     void incompleteArrayAtTheEndOfAConnectionHarmsNothingElse() throws Exception {
-        List<String> warned = new java.util.concurrent.CopyOnWriteArrayList<>();
-        java.util.logging.Logger library = java.util.logging.Logger.getLogger("io.netty");
-        java.util.logging.Handler noting = new java.util.logging.Handler() {
-            @Override
-            public void publish(java.util.logging.LogRecord record) {
-                warned.add(record.getMessage());
-            }
-
-            @Override
-            public void flush() {}
-
-            @Override
-            public void close() {}
-        };
+        List<String> warned = new CopyOnWriteArrayList<>();
+        Logger library = Logger.getLogger("io.netty");
+        Handler noting = new WarningCollector(warned);
         library.addHandler(noting);
         try {
             start();
--- a/src/test/java/quotagateway/node/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/node/MisbehavingClientTest.java
@@ -9,66 +9,82 @@
 
 /** Clients that send malformed input or nothing, that do not read, or that come by hundreds. */
 class MisbehavingClientTest extends NodeFixture {
-    /** Neither crash, hang nor unbounded buffer: an error is the answer, and behind a malformed frame a close. */
-    @Test
-    void malformedInputIsAnsweredWithAnError() throws Exception {
-        start();
-        Peer.Connection client = connectClient();
-        String call = "c=read,t=p,d=900,units=2,spread=3,first=1";
-        for (String list : new String[] {
-            "c=read,t=p",
-            "d",
-            call.replace("900", "x"),
-            call.replace("900", "-1"),
-            call.replace("900", "NaN"),
-            call.replace("900", "0x1p3"),
-            call.replace("900", "1e30"),
-            call.replace("units=2", "units=-1"),
-            call.replace("units=2", "units=1.5"),
-            call.replace("units=2", "units=NaN"),
-            call.replace("units=2", "units=0x1p0"),
-            call.replace("units=2", "units=3"),
-            call.replace("units=2", "units=99999999999"),
-            call.replace("spread=3", "spread=0"),
-            call.replace("spread=3", "spread=5"),
-            call.replace("first=1", "first=4"),
-            call.replace("first=1", "first=1e0"),
-            call.replace("read", "write"),
-            call.replace("read", "write") + ",k=1"
-        }) {
+    private static final String ATTRIBUTES = "c=read,t=p,d=900,units=2,spread=3,first=1";
+    private static final String[] MALFORMED_ATTRIBUTE_LISTS = {
+        "c=read,t=p",
+        "d",
+        ATTRIBUTES.replace("900", "x"),
+        ATTRIBUTES.replace("900", "-1"),
+        ATTRIBUTES.replace("900", "NaN"),
+        ATTRIBUTES.replace("900", "0x1p3"),
+        ATTRIBUTES.replace("900", "1e30"),
+        ATTRIBUTES.replace("units=2", "units=-1"),
+        ATTRIBUTES.replace("units=2", "units=1.5"),
+        ATTRIBUTES.replace("units=2", "units=NaN"),
+        ATTRIBUTES.replace("units=2", "units=0x1p0"),
+        ATTRIBUTES.replace("units=2", "units=3"),
+        ATTRIBUTES.replace("units=2", "units=99999999999"),
+        ATTRIBUTES.replace("spread=3", "spread=0"),
+        ATTRIBUTES.replace("spread=3", "spread=5"),
+        ATTRIBUTES.replace("first=1", "first=4"),
+        ATTRIBUTES.replace("first=1", "first=1e0"),
+        ATTRIBUTES.replace("read", "write"),
+        ATTRIBUTES.replace("read", "write") + ",k=1"
+    };
+    private static final String[][] MALFORMED_COMMANDS = {
+        {"GET", "x"},
+        {"CALL.GET"},
+        {"CALL.GET", CUSTOMER, ATTRIBUTES},
+        {"CALL.GET", CUSTOMER, "", ATTRIBUTES},
+        {"CALL.GET", "x".repeat(16), "01", ATTRIBUTES},
+        {"CALL.GET", "0000000200000000", "01", ATTRIBUTES},
+        {"CALL.GET", CUSTOMER, "01", ATTRIBUTES, "d", "e"},
+        {"CALL.POST", CUSTOMER, "01", ATTRIBUTES, "d"},
+        {"CALL.POST", CUSTOMER, "01", "c=write,t=p,d=900"}
+    };
+    private static final String[] MALFORMED_FRAMES = {
+        "GET / HTTP/1.1\r\n\r\n",
+        "*1\r\n$536870000\r\n",
+        "*1\r\n$x\r\n",
+        "*2000000000\r\n",
+        "*1\r\n$70000\r\n",
+        "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n$1\r\na\r\n",
+        "$3\r\nabcde"
+    };
+
+    private static void rejectsAttributeLists(Peer.Connection client) throws Exception {
+        for (String list : MALFORMED_ATTRIBUTE_LISTS) {
             client.sendCommand("CALL.GET", CUSTOMER, "01", list);
             assertTrue(client.readMessage().get(0).startsWith("-ERR "), list);
         }
-        for (String[] words : new String[][] {
-            {"GET", "x"},
-            {"CALL.GET"},
-            {"CALL.GET", CUSTOMER, call},
-            {"CALL.GET", CUSTOMER, "", call},
-            {"CALL.GET", "x".repeat(16), "01", call},
-            {"CALL.GET", "0000000200000000", "01", call},
-            {"CALL.GET", CUSTOMER, "01", call, "d", "e"},
-            {"CALL.POST", CUSTOMER, "01", call, "d"},
-            {"CALL.POST", CUSTOMER, "01", "c=write,t=p,d=900"}
-        }) {
+    }
+
+    private static void rejectsCommands(Peer.Connection client) throws Exception {
+        for (String[] words : MALFORMED_COMMANDS) {
             client.sendCommand(words);
             assertTrue(client.readMessage().get(0).startsWith("-ERR "), String.join(" ", words));
         }
         client.write("*4\r\n$8\r\nCALL.GET\r\n$-1\r\n*1\r\n+x\r\n:5\r\n");
         assertTrue(client.readMessage().get(0).startsWith("-ERR "));
-        for (String broken : new String[] {
-            "GET / HTTP/1.1\r\n\r\n",
-            "*1\r\n$536870000\r\n",
-            "*1\r\n$x\r\n",
-            "*2000000000\r\n",
-            "*1\r\n$70000\r\n",
-            "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n$1\r\na\r\n",
-            "$3\r\nabcde"
-        }) {
+    }
+
+    private void rejectsMalformedFrames() throws Exception {
+        for (String frame : MALFORMED_FRAMES) {
             Peer.Connection other = connectClient();
-            other.write(broken);
-            assertTrue(other.readMessage().get(0).startsWith("-ERR "), broken);
-            assertTrue(other.awaitEnd(), broken);
+            other.write(frame);
+            assertTrue(other.readMessage().get(0).startsWith("-ERR "), frame);
+            assertTrue(other.awaitEnd(), frame);
         }
+    }
+
+    /** Neither crash, hang nor unbounded buffer: an error is the answer, and behind a malformed frame a close. */
+    @Test
+    void malformedInputIsAnsweredWithAnError() throws Exception {
+        start();
+        Peer.Connection client = connectClient();
+        rejectsAttributeLists(client);
+        rejectsCommands(client);
+        rejectsMalformedFrames();
         sendGet(client, "01", "refuse", 900);
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
