--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -58,14 +58,14 @@
 
     @Override
     void measure() throws Exception {
-        atLeast(sizes, 1, "--nodes");
+        requireAtLeast(sizes, 1, "--nodes");
         require(sizes.stream().allMatch(s -> s <= NODES_MOST), "--nodes has to be " + NODES_MOST + " or less");
         require(
                 listed > 1 && rate > 0 && changes > 0 && pause > 0,
                 "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
         NodeLaunch.run(root);
         for (int size : sizes) {
-            progress(size + " nodes");
+            showProgress(size + " nodes");
             point(size);
         }
     }
@@ -84,7 +84,7 @@
                 nodes.add(RealNode.start(
                         root, ScaleSettings.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
                 addresses.add(nodes.get(i).address);
-                inTimeNow();
+                checkTimeLimitNow();
             }
             LoadDriver load = new LoadDriver(
                     clients, addresses, size, new CustomerPopulation(1000, CustomerPopulation.SKEW), rate * size, seed);
@@ -92,7 +92,7 @@
             Thread.sleep(SETTLED);
             Histogram times = new Histogram(3);
             for (int i = 0; i < changes; i++) {
-                inTimeNow();
+                checkTimeLimitNow();
                 times.recordValue(change(place, agent, i % listed));
             }
             load.stop();
--- a/src/main/java/quotagateway/scale/CustomerPopulation.java
+++ b/src/main/java/quotagateway/scale/CustomerPopulation.java
@@ -9,22 +9,23 @@
     static final double SKEW = 0.6;
 
     private final String[] names;
-    private final double[] upTo;
+    private final double[] cumulativeWeights;
 
     CustomerPopulation(int size, double skew) {
         names = new String[size];
-        upTo = new double[size];
+        cumulativeWeights = new double[size];
         double sum = 0;
         for (int i = 0; i < size; i++) {
             names[i] = String.format("%016x", i);
             sum += Math.pow(i + 1, -skew);
-            upTo[i] = sum;
+            cumulativeWeights[i] = sum;
         }
     }
 
     int pick(SplittableRandom random) {
-        int at = Arrays.binarySearch(upTo, random.nextDouble() * upTo[upTo.length - 1]);
-        return Math.min(at < 0 ? -at - 1 : at, upTo.length - 1);
+        int at = Arrays.binarySearch(
+                cumulativeWeights, random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1]);
+        return Math.min(at < 0 ? -at - 1 : at, cumulativeWeights.length - 1);
     }
 
     String name(int customer) {
@@ -36,7 +37,7 @@
     }
 
     /** The first of a customer's nodes, spread over all by a fixed hash. */
-    static int first(int customer, int nodes) {
+    static int firstNode(int customer, int nodes) {
         long h = (customer + 1) * 0x9e3779b97f4a7c15L;
         return (int) Long.remainderUnsigned(h ^ h >>> 29, nodes);
     }
--- a/src/main/java/quotagateway/scale/DiscoveryStandIn.java
+++ b/src/main/java/quotagateway/scale/DiscoveryStandIn.java
@@ -145,7 +145,7 @@
     }
 
     private String entry(int server) {
-        EndpointDescriptor s = servers.entry(server, health[server], (double) bornMs[server]);
+        EndpointDescriptor s = servers.descriptor(server, health[server], (double) bornMs[server]);
         String word = switch (health[server]) {
             case UP -> "active";
             case DRAINING -> "leaving";
--- a/src/main/java/quotagateway/scale/Distribution.java
+++ b/src/main/java/quotagateway/scale/Distribution.java
@@ -1,7 +1,7 @@
 package quotagateway.scale;
 
 /** How evenly something lies over servers: mean, the most that one has, and the standard deviation. */
-record Distribution(double mean, double least, double most, double deviation) {
+record Distribution(double mean, double min, double max, double deviation) {
     static Distribution of(long[] counts) {
         double sum = 0;
         double squares = 0;
@@ -17,10 +17,10 @@
         return new Distribution(mean, least, most, Math.sqrt(Math.max(0, squares / counts.length - mean * mean)));
     }
 
-    void into(Results results, String metric, int nodes, double per, String unit) {
+    void addTo(Results results, String metric, int nodes, double per, String unit) {
         results.add(metric + "_mean", "nodes", nodes, mean / per, unit);
-        results.add(metric + "_least", "nodes", nodes, least / per, unit);
-        results.add(metric + "_worst", "nodes", nodes, most / per, unit);
+        results.add(metric + "_least", "nodes", nodes, min / per, unit);
+        results.add(metric + "_worst", "nodes", nodes, max / per, unit);
         results.add(metric + "_deviation", "nodes", nodes, deviation / per, unit);
     }
 }
--- a/src/main/java/quotagateway/scale/EndpointInventory.java
+++ b/src/main/java/quotagateway/scale/EndpointInventory.java
@@ -8,7 +8,7 @@
 /** The place servers of a run, by number: names, zones and cells are made once and shared by all nodes. */
 public final class EndpointInventory {
     /** Few servers drop each other's repeats: a cell is a rack's worth at most. */
-    private static final int CELL = 8;
+    private static final int ENDPOINTS_PER_CELL = 8;
 
     private final String[] names;
     private final String[] zones;
@@ -34,12 +34,12 @@
 
     /** Cells lie in one zone each, and zones take turns. */
     public int zone(int server) {
-        return server / CELL % zones.length;
+        return server / ENDPOINTS_PER_CELL % zones.length;
     }
 
     /** Servers of one cell drop each other's repeats. */
     public int cell(int server) {
-        return server / CELL;
+        return server / ENDPOINTS_PER_CELL;
     }
 
     public String name(int server) {
@@ -47,20 +47,20 @@
     }
 
     /** The number of a server by its name. */
-    public static int number(String name) {
+    public static int numberOf(String name) {
         return Integer.parseUnsignedInt(name, 2, name.length(), 16);
     }
 
     /** The entry of a list; startedAt is 0 where the server started long ago. */
-    public EndpointDescriptor entry(int server, EndpointState state, double startedAt) {
+    public EndpointDescriptor descriptor(int server, EndpointState state, double startedAt) {
         return new EndpointDescriptor(names[server], cell(server), zones[zone(server)], state, "", startedAt, 1, 0);
     }
 
     /** Every server, up since long ago. */
-    public List<EndpointDescriptor> whole() {
+    public List<EndpointDescriptor> completeList() {
         List<EndpointDescriptor> list = new ArrayList<>(names.length);
         for (int i = 0; i < names.length; i++) {
-            list.add(entry(i, EndpointState.UP, 0));
+            list.add(descriptor(i, EndpointState.UP, 0));
         }
         return list;
     }
--- a/src/main/java/quotagateway/scale/Experiment.java
+++ b/src/main/java/quotagateway/scale/Experiment.java
@@ -19,9 +19,9 @@
     }
 
     /** The clock is asked for the end of the run every so many events. */
-    private static final int EVENTS = 256;
+    private static final int EVENTS_PER_TIME_CHECK = 256;
 
-    private static final long PROGRESS = 5_000_000_000L;
+    private static final long PROGRESS_INTERVAL_NANOS = 5_000_000_000L;
 
     @Option(names = "--seed", defaultValue = "1", description = "of all chance (default ${DEFAULT-VALUE})")
     long seed;
@@ -45,8 +45,8 @@
     CommandSpec spec;
 
     Results results;
-    private long end;
-    private long shown;
+    private long endNanos;
+    private long shownAtNanos;
     private int events;
 
     /** Measures, and adds each point to the results. */
@@ -58,8 +58,8 @@
         require(out == null || out.toString().matches(".*\\.(csv|json)"), "--out has to end in .csv or .json");
         require(out == null || Files.isDirectory(out.toAbsolutePath().getParent()), "no folder for --out " + out);
         results = new Results(commandLine(), commit == null ? commitOfFolder() : commit);
-        end = System.nanoTime() + maxSeconds * 1_000_000_000L;
-        shown = System.nanoTime();
+        endNanos = System.nanoTime() + maxSeconds * 1_000_000_000L;
+        shownAtNanos = System.nanoTime();
         boolean whole = true;
         try {
             measure();
@@ -75,10 +75,10 @@
     }
 
     /** As a part of another experiment. */
-    void measureFor(Experiment whole) throws Exception {
+    void measureWithin(Experiment whole) throws Exception {
         seed = whole.seed;
         results = whole.results;
-        end = whole.end;
+        endNanos = whole.endNanos;
         measure();
     }
 
@@ -88,32 +88,33 @@
         }
     }
 
-    static void atLeast(List<Integer> values, int least, String option) {
+    static void requireAtLeast(List<Integer> values, int least, String option) {
         require(values.stream().allMatch(v -> v >= least), option + " has to be " + least + " or more");
     }
 
     /** Ends the run where its time is over. */
-    void inTime() {
-        if (++events % EVENTS == 0 && System.nanoTime() > end) {
+    void checkTimeLimit() {
+        if (++events % EVENTS_PER_TIME_CHECK == 0 && System.nanoTime() > endNanos) {
             throw new TimeLimitException();
         }
     }
 
-    void inTimeNow() {
-        if (System.nanoTime() > end) {
+    void checkTimeLimitNow() {
+        if (System.nanoTime() > endNanos) {
             throw new TimeLimitException();
         }
     }
 
     /** Shown every 5 s at most. */
-    void progress(String what) {
+    void showProgress(String what) {
         long now = System.nanoTime();
-        if (now - shown > PROGRESS) {
-            shown = now;
+        if (now - shownAtNanos > PROGRESS_INTERVAL_NANOS) {
+            shownAtNanos = now;
             System.err.println(
                     spec == null
                             ? what
-                            : spec.name() + ": " + what + ", " + Math.max(0, (end - now) / 1_000_000_000L) + " s left");
+                            : spec.name() + ": " + what + ", " + Math.max(0, (endNanos - now) / 1_000_000_000L)
+                                    + " s left");
         }
     }
 
--- a/src/main/java/quotagateway/scale/FleetExperiment.java
+++ b/src/main/java/quotagateway/scale/FleetExperiment.java
@@ -32,13 +32,13 @@
     int threads;
 
     @Override
-    void check() {
+    void checkOptions() {
         require(seconds > 0 && threads > 0, "--seconds and --threads have to be above 0");
     }
 
     @Override
-    void point(int size) throws Exception {
-        if ((long) size * shape.servers(size) <= together) {
+    void measurePoint(int size) throws Exception {
+        if ((long) size * options.endpointCount(size) <= together) {
             together(size);
         } else {
             lone(size);
@@ -47,22 +47,22 @@
 
     /** Calls to the counter and latency need nodes that meet: they are not told here. */
     private void lone(int size) throws Exception {
-        IndependentNodes nodes = new IndependentNodes(shape, size, seed, seconds);
+        IndependentNodes nodes = new IndependentNodes(options, size, seed, seconds);
         nodes.run(threads, () -> {
-            inTimeNow();
-            progress(nodes.progress());
+            checkTimeLimitNow();
+            showProgress(nodes.progress());
         });
-        spread(size, nodes.connections(), nodes.kept, nodes.load());
+        spread(size, nodes.connectionsPerEndpoint(), nodes.connectionsPerNode, nodes.requestsPerEndpoint());
     }
 
     private void spread(int size, long[] connections, long[] kept, long[] load) {
-        Distribution.of(connections).into(results, "fleet.connections_per_server", size, 1, "connections");
-        Distribution.of(kept).into(results, "fleet.connections_per_node", size, 1, "connections");
-        Distribution.of(load).into(results, "fleet.requests_per_server_s", size, seconds, "1/s");
+        Distribution.of(connections).addTo(results, "fleet.connections_per_server", size, 1, "connections");
+        Distribution.of(kept).addTo(results, "fleet.connections_per_node", size, 1, "connections");
+        Distribution.of(load).addTo(results, "fleet.requests_per_server_s", size, seconds, "1/s");
     }
 
     private void together(int size) {
-        SimulatedFleet fleet = started(size, SETTLED);
+        SimulatedFleet fleet = startFleet(size, SETTLED);
         long[] before = got(fleet);
         long calls = fleet.counter.calls;
         long arrivals = fleet.arrivals();
@@ -75,7 +75,7 @@
         }
         long[] kept = new long[size];
         for (int i = 0; i < size; i++) {
-            kept[i] = fleet.nodes[i].kept().cardinality();
+            kept[i] = fleet.nodes[i].retainedEndpoints().cardinality();
         }
         spread(size, fleet.connections(), kept, load);
         double called = (fleet.counter.calls - calls) / (double) seconds;
@@ -99,9 +99,9 @@
     }
 
     private static long[] got(SimulatedFleet fleet) {
-        long[] got = new long[fleet.hosts.length];
+        long[] got = new long[fleet.endpoints.length];
         for (int i = 0; i < got.length; i++) {
-            got[i] = fleet.hosts[i].got;
+            got[i] = fleet.endpoints[i].attemptsReceived;
         }
         return got;
     }
--- a/src/main/java/quotagateway/scale/FleetOptions.java
+++ b/src/main/java/quotagateway/scale/FleetOptions.java
@@ -2,25 +2,31 @@
 
 import picocli.CommandLine.Option;
 
-/** What a fleet of hollow nodes is like; options of all experiments that have one. */
+/**
+ * The options that describe a simulated fleet, the same for all experiments that have one: endpoints and customers for
+ * each node, load, endpoint capacity, the shared counter and how long changes take to be known.
+ */
 final class FleetOptions {
     @Option(
             names = "--servers-per-node",
+            paramLabel = "<serversPerNode>",
             defaultValue = "24.4",
             description = "servers listed, for each node " + "(default ${DEFAULT-VALUE})")
-    double serversPerNode;
+    double endpointsPerNode;
 
     @Option(
             names = "--least-servers",
+            paramLabel = "<leastServers>",
             defaultValue = "10",
             description = "in a small fleet " + "(default ${DEFAULT-VALUE})")
-    int leastServers;
+    int minEndpoints;
 
     @Option(
             names = "--rate",
+            paramLabel = "<rate>",
             defaultValue = "183",
             description = "requests a second and node " + "(default ${DEFAULT-VALUE})")
-    double rate;
+    double requestsPerSecond;
 
     @Option(
             names = "--customers-per-node",
@@ -45,63 +51,83 @@
 
     @Option(
             names = "--queue",
+            paramLabel = "<queue>",
             defaultValue = "16",
             description = "requests that a server holds beside " + "(default ${DEFAULT-VALUE})")
-    int queue;
+    int queueLength;
 
     @Option(
             names = "--service-ms",
+            paramLabel = "<service>",
             defaultValue = "60",
             description = "mean time of a server for a request " + "(default ${DEFAULT-VALUE})")
-    double service;
+    double serviceMs;
 
     @Option(
             names = "--counter-per-s",
+            paramLabel = "<counterRate>",
             defaultValue = "1500",
             description = "calls that the counter serves " + "(default ${DEFAULT-VALUE})")
-    double counterRate;
+    double counterCallsPerSecond;
 
     @Option(
             names = "--counter-ms",
+            paramLabel = "<counterWay>",
             defaultValue = "1",
             description = "to the counter and back " + "(default ${DEFAULT-VALUE})")
-    double counterWay;
+    double counterRoundTripMs;
 
     @Option(
             names = "--notice-ms",
+            paramLabel = "<notice>",
             split = ",",
             arity = "1",
             defaultValue = "500,4000",
             description = "a change is with a node after FROM,TO at random (default ${DEFAULT-VALUE})")
-    double[] notice;
+    double[] noticeDelayMs;
 
-    int servers(int nodes) {
-        return (int) Math.max(leastServers, Math.round(nodes * serversPerNode));
+    /** How many endpoints a fleet of so many nodes has. */
+    int endpointCount(int nodes) {
+        return (int) Math.max(minEndpoints, Math.round(nodes * endpointsPerNode));
     }
 
-    int customers(int nodes) {
+    /** How many customers a fleet of so many nodes has. */
+    int customerCount(int nodes) {
         return (int) Math.max(10, Math.round(nodes * customersPerNode));
     }
 
-    SimulatedEndpoint.Capacity kind() {
-        return new SimulatedEndpoint.Capacity(slots, queue, service);
+    /** What each endpoint can do. */
+    SimulatedEndpoint.Capacity endpointCapacity() {
+        return new SimulatedEndpoint.Capacity(slots, queueLength, serviceMs);
     }
 
+    /** The shortest time (ms) until a node knows of a change. */
+    double minNoticeDelayMs() {
+        return noticeDelayMs[0];
+    }
+
+    /** The time (ms) by which every node knows of a change. */
+    double maxNoticeDelayMs() {
+        return noticeDelayMs[1];
+    }
+
+    /** Refuses values that describe no fleet. */
     void check() {
         Experiment.require(
-                serversPerNode > 0
-                        && leastServers > 0
-                        && rate > 0
+                endpointsPerNode > 0
+                        && minEndpoints > 0
+                        && requestsPerSecond > 0
                         && customersPerNode > 0
                         && slots > 0
-                        && queue >= 0
-                        && service > 0
-                        && counterRate > 0
-                        && counterWay >= 0
+                        && queueLength >= 0
+                        && serviceMs > 0
+                        && counterCallsPerSecond > 0
+                        && counterRoundTripMs >= 0
                         && regions > 0,
                 "the fleet's shape has to be above 0");
         Experiment.require(zones >= regions, "--regions are made of zones: at most --zones");
         Experiment.require(
-                notice.length == 2 && notice[0] >= 0 && notice[1] >= notice[0], "--notice-ms has to be FROM,TO");
+                noticeDelayMs.length == 2 && noticeDelayMs[0] >= 0 && noticeDelayMs[1] >= noticeDelayMs[0],
+                "--notice-ms has to be FROM,TO");
     }
 }
--- a/src/main/java/quotagateway/scale/IndependentNodes.java
+++ b/src/main/java/quotagateway/scale/IndependentNodes.java
@@ -24,33 +24,33 @@
  */
 final class IndependentNodes {
     /** Rates are learnt, and a node has its set, by then (virtual ms). */
-    private static final double SETTLED = 3000;
+    private static final double SETTLE_MS = 3000;
 
-    private static final double STEP = 100;
+    private static final double STEP_MS = 100;
 
-    private final FleetOptions shape;
+    private final FleetOptions options;
     private final int size;
     private final long seed;
     private final int seconds;
-    private final EndpointInventory servers;
-    private final List<EndpointDescriptor> whole;
-    private final PolicySettings first;
-    final AtomicLongArray connections;
-    final AtomicLongArray load;
-    final long[] kept;
-    private final AtomicInteger done = new AtomicInteger();
+    private final EndpointInventory inventory;
+    private final List<EndpointDescriptor> completeList;
+    private final PolicySettings sharedSettings;
+    final AtomicLongArray connectionsPerEndpoint;
+    final AtomicLongArray requestsPerEndpoint;
+    final long[] connectionsPerNode;
+    private final AtomicInteger nodesDone = new AtomicInteger();
 
     IndependentNodes(FleetOptions shape, int size, long seed, int seconds) {
-        this.shape = shape;
+        this.options = shape;
         this.size = size;
         this.seed = seed;
         this.seconds = seconds;
-        servers = new EndpointInventory(shape.servers(size), shape.zones);
-        whole = servers.whole();
-        first = ScaleSettings.settings(null, 0, size, shape.zones);
-        connections = new AtomicLongArray(servers.size());
-        load = new AtomicLongArray(servers.size());
-        kept = new long[size];
+        inventory = new EndpointInventory(shape.endpointCount(size), shape.zones);
+        completeList = inventory.completeList();
+        sharedSettings = ScaleSettings.settings(null, 0, size, shape.zones);
+        connectionsPerEndpoint = new AtomicLongArray(inventory.size());
+        requestsPerEndpoint = new AtomicLongArray(inventory.size());
+        connectionsPerNode = new long[size];
     }
 
     /** Runs all nodes on so many threads; between is called meanwhile, and ends the run by throwing. */
@@ -60,7 +60,7 @@
             List<Future<?>> all = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 int rank = i;
-                all.add(pool.submit(() -> one(rank)));
+                all.add(pool.submit(() -> simulateNode(rank)));
             }
             for (Future<?> each : all) {
                 while (!each.isDone()) {
@@ -79,15 +79,15 @@
     }
 
     String progress() {
-        return done.get() + " of " + size + " nodes, " + servers.size() + " servers";
+        return nodesDone.get() + " of " + size + " nodes, " + inventory.size() + " servers";
     }
 
-    long[] connections() {
-        return values(connections);
+    long[] connectionsPerEndpoint() {
+        return values(connectionsPerEndpoint);
     }
 
-    long[] load() {
-        return values(load);
+    long[] requestsPerEndpoint() {
+        return values(requestsPerEndpoint);
     }
 
     private static long[] values(AtomicLongArray of) {
@@ -98,61 +98,66 @@
         return values;
     }
 
-    private void one(int rank) {
-        VirtualClock clock = new VirtualClock(SimulatedFleet.START);
+    private void simulateNode(int rank) {
+        VirtualClock clock = new VirtualClock(SimulatedFleet.START_MS);
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + rank);
         Map<Long, Double> totals = new HashMap<>();
         boolean[] measured = new boolean[1];
         SimulatedNode.Peers peers = new SimulatedNode.Peers() {
             @Override
-            public void attempt(SimulatedNode node, SimulatedNode.Attempt a) {
+            public void sendAttempt(SimulatedNode node, SimulatedNode.Attempt a) {
                 if (measured[0]) {
-                    load.incrementAndGet(a.server);
+                    requestsPerEndpoint.incrementAndGet(a.endpoint);
                 }
-                clock.after(-shape.service * Math.log(1 - random.nextDouble()), () -> node.ended(a, CallOutcome.OK));
+                clock.schedule(
+                        -options.serviceMs * Math.log(1 - random.nextDouble()),
+                        () -> node.onAttemptEnded(a, CallOutcome.OK));
             }
 
             @Override
-            public void count(SimulatedNode node, long name, double amount) {
+            public void addToCounter(SimulatedNode node, long name, double amount) {
                 double total = totals.merge(name, amount, Double::sum);
-                int life = node.life();
-                clock.after(shape.counterWay, () -> node.counted(life, name, CallOutcome.OK, shape.counterWay, total));
+                int life = node.processNumber();
+                clock.schedule(
+                        options.counterRoundTripMs,
+                        () -> node.onCounterReply(life, name, CallOutcome.OK, options.counterRoundTripMs, total));
             }
         };
         SimulatedNode node = new SimulatedNode(
-                ScaleSettings.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
+                ScaleSettings.settings(sharedSettings, rank, size, options.zones), clock, peers, new Histogram(3));
         node.start(random.nextLong());
-        node.servers(whole, true);
+        node.onEndpoints(completeList, true);
         CustomerPopulation customers = new CustomerPopulation(
-                (int) Math.max(10, shape.customersPerNode * ScaleSettings.SPREAD), CustomerPopulation.SKEW);
-        next(clock, random, node, customers, new long[1]);
-        run(clock, SETTLED);
+                (int) Math.max(10, options.customersPerNode * ScaleSettings.GATEWAYS_PER_CUSTOMER),
+                CustomerPopulation.SKEW);
+        scheduleNextRequest(clock, random, node, customers, new long[1]);
+        run(clock, SETTLE_MS);
         measured[0] = true;
         run(clock, seconds * 1000.0);
-        node.kept().stream().forEach(connections::incrementAndGet);
-        kept[rank] = node.kept().cardinality();
-        done.incrementAndGet();
+        node.retainedEndpoints().stream().forEach(connectionsPerEndpoint::incrementAndGet);
+        connectionsPerNode[rank] = node.retainedEndpoints().cardinality();
+        nodesDone.incrementAndGet();
     }
 
     private static void run(VirtualClock clock, double milliseconds) {
-        for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP) {
-            clock.to(clock.now() + STEP, () -> {});
+        for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP_MS) {
+            clock.advanceTo(clock.now() + STEP_MS, () -> {});
         }
     }
 
-    private void next(
+    private void scheduleNextRequest(
             VirtualClock clock, SplittableRandom random, SimulatedNode node, CustomerPopulation customers, long[] ids) {
-        clock.after(-1000 / shape.rate * Math.log(1 - random.nextDouble()), () -> {
-            next(clock, random, node, customers, ids);
-            node.arrive(new IncomingRequest(
+        clock.schedule(-1000 / options.requestsPerSecond * Math.log(1 - random.nextDouble()), () -> {
+            scheduleNextRequest(clock, random, node, customers, ids);
+            node.onRequest(new IncomingRequest(
                     ++ids[0],
-                    ScaleSettings.type(random.nextDouble()),
+                    ScaleSettings.requestClass(random.nextDouble()),
                     ScaleSettings.PLAN,
                     customers.name(customers.pick(random)),
-                    ScaleSettings.DEADLINE,
+                    ScaleSettings.DEADLINE_MS,
                     1,
-                    Math.min(size, ScaleSettings.SPREAD),
-                    node.rank,
+                    Math.min(size, ScaleSettings.GATEWAYS_PER_CUSTOMER),
+                    node.index,
                     false));
         });
     }
--- a/src/main/java/quotagateway/scale/LinearFit.java
+++ b/src/main/java/quotagateway/scale/LinearFit.java
@@ -5,7 +5,7 @@
 /** A straight line by least squares; the residual is the root mean square error, in the unit of y. */
 record LinearFit(double slope, double intercept, double residual) {
     /** Fewer points than this make no slope: any three lie near some line. */
-    static final int LEAST = 4;
+    static final int MIN_POINTS = 4;
 
     /** Null where there are too few points, or all at one x. */
     static LinearFit of(List<double[]> points) {
@@ -18,7 +18,7 @@
         double xy = points.stream()
                 .mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY))
                 .sum();
-        if (n < LEAST || xx == 0) {
+        if (n < MIN_POINTS || xx == 0) {
             return null;
         }
         double slope = xy / xx;
--- a/src/main/java/quotagateway/scale/LoadDriver.java
+++ b/src/main/java/quotagateway/scale/LoadDriver.java
@@ -116,12 +116,12 @@
     private void ask(long intended) {
         int customer = customers.pick(random);
         boolean all = targets.size() == fleet;
-        int first = all ? CustomerPopulation.first(customer, fleet) : 0;
-        int spread = Math.min(fleet, ScaleSettings.SPREAD);
+        int first = all ? CustomerPopulation.firstNode(customer, fleet) : 0;
+        int spread = Math.min(fleet, ScaleSettings.GATEWAYS_PER_CUSTOMER);
         Target target = targets.get((first + random.nextInt(spread)) % targets.size());
-        String type = ScaleSettings.type(random.nextDouble());
+        String type = ScaleSettings.requestClass(random.nextDouble());
         String id = String.format("%016x", ++ids);
-        String list = "c=" + type + ",t=" + ScaleSettings.PLAN + ",d=" + Math.round(ScaleSettings.DEADLINE)
+        String list = "c=" + type + ",t=" + ScaleSettings.PLAN + ",d=" + Math.round(ScaleSettings.DEADLINE_MS)
                 + (type.equals(ScaleSettings.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first="
                 + first;
         String command = type.equals(ScaleSettings.READ)
--- a/src/main/java/quotagateway/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -93,17 +93,17 @@
         }
 
         void next() {
-            clock.after(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
+            clock.schedule(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
                 next();
                 int customer = asking.pick(random);
-                node.arrive(new IncomingRequest(
+                node.onRequest(new IncomingRequest(
                         ++requests,
-                        ScaleSettings.type(random.nextDouble()),
+                        ScaleSettings.requestClass(random.nextDouble()),
                         ScaleSettings.PLAN,
                         asking.name(customer),
-                        ScaleSettings.DEADLINE,
+                        ScaleSettings.DEADLINE_MS,
                         1,
-                        Math.min(nodes, ScaleSettings.SPREAD),
+                        Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
                         0,
                         false));
             });
@@ -113,45 +113,45 @@
         void run(double virtual, double real) {
             long end = System.nanoTime() + (long) (real * 1e9);
             for (double to = clock.now() + virtual; clock.now() < to && System.nanoTime() < end; ) {
-                clock.to(Math.min(to, clock.now() + STEP / 10), ModuleExperiment.this::inTime);
+                clock.advanceTo(Math.min(to, clock.now() + STEP / 10), ModuleExperiment.this::checkTimeLimit);
             }
         }
 
         @Override
-        public void attempt(SimulatedNode from, SimulatedNode.Attempt a) {
-            clock.after(-service * Math.log(1 - random.nextDouble()), () -> from.ended(a, CallOutcome.OK));
+        public void sendAttempt(SimulatedNode from, SimulatedNode.Attempt a) {
+            clock.schedule(-service * Math.log(1 - random.nextDouble()), () -> from.onAttemptEnded(a, CallOutcome.OK));
         }
 
         @Override
-        public void count(SimulatedNode from, long name, double amount) {
+        public void addToCounter(SimulatedNode from, long name, double amount) {
             double total = totals.merge(name, amount, Double::sum);
-            int life = from.life();
-            clock.after(1, () -> from.counted(life, name, CallOutcome.OK, 1, total));
+            int life = from.processNumber();
+            clock.schedule(1, () -> from.onCounterReply(life, name, CallOutcome.OK, 1, total));
         }
     }
 
     @Override
     void measure() {
-        atLeast(sizes, 1, "--servers");
-        atLeast(customers, 1, "--customers");
+        requireAtLeast(sizes, 1, "--servers");
+        requireAtLeast(customers, 1, "--customers");
         require(
                 rate > 0 && nodes > 0 && zones > 0 && service > 0 && seconds > 0 && pointSeconds > 0,
                 "--rate, --nodes, --zones, --service-ms, --seconds and --point-seconds have to be above 0");
         Load warm = new Load(customers.get(0));
-        warm.node.servers(new EndpointInventory(sizes.get(0), zones).whole(), true);
+        warm.node.onEndpoints(new EndpointInventory(sizes.get(0), zones).completeList(), true);
         warm.next();
         while (warm.requests < WARM) {
             warm.run(STEP, 1);
         }
         int few = customers.get(0);
         for (int size : sizes) {
-            progress(size + " servers");
+            showProgress(size + " servers");
             memory(size);
             cost(size, few, "listed_servers", size);
         }
         int usual = sizes.get(Math.min(1, sizes.size() - 1));
         for (int many : customers) {
-            progress(many + " customers");
+            showProgress(many + " customers");
             customers(usual, many);
         }
     }
@@ -159,17 +159,17 @@
     private void cost(int size, int many, String x, int at) {
         Load load = new Load(many);
         EndpointInventory servers = new EndpointInventory(size, zones);
-        load.node.servers(servers.whole(), true);
+        load.node.onEndpoints(servers.completeList(), true);
         load.next();
         load.run(2 * STEP, pointSeconds / 4.0);
-        load.node.meter(load.meter);
+        load.node.cpuMeter(load.meter);
         long before = load.requests;
         double since = load.clock.now();
-        long calls = load.node.calls;
+        long calls = load.node.counterCalls;
         load.run(seconds * STEP, pointSeconds);
         double lasted = (load.clock.now() - since) / STEP;
         results.add("module.cpu_us_per_request", x, at, load.meter.take() / Math.max(1, load.requests - before), "us");
-        results.add("module.counter_calls_per_s", x, at, (load.node.calls - calls) / lasted, "1/s");
+        results.add("module.counter_calls_per_s", x, at, (load.node.counterCalls - calls) / lasted, "1/s");
         changes(load, servers, x, at);
     }
 
@@ -179,12 +179,12 @@
         for (int i = 0; i < CHANGES; i++) {
             int server = load.random.nextInt(servers.size());
             for (EndpointState state : List.of(EndpointState.DRAINING, EndpointState.UP)) {
-                load.node.servers(List.of(servers.entry(server, state, 0)), false);
+                load.node.onEndpoints(List.of(servers.descriptor(server, state, 0)), false);
             }
-            inTimeNow();
+            checkTimeLimitNow();
         }
         results.add("module.cpu_us_per_list_change", x, at, load.meter.take() / CHANGES / 2, "us");
-        load.node.servers(servers.whole(), true);
+        load.node.onEndpoints(servers.completeList(), true);
         results.add("module.cpu_us_per_whole_list", x, at, load.meter.take(), "us");
     }
 
@@ -199,7 +199,7 @@
             List<SimulatedNode> kept = new ArrayList<>();
             for (int i = 0; i < copies; i++) {
                 Load load = new Load(1);
-                load.node.servers(new EndpointInventory(size, zones).whole(), true);
+                load.node.onEndpoints(new EndpointInventory(size, zones).completeList(), true);
                 kept.add(load.node);
             }
             long with;
@@ -210,7 +210,7 @@
             }
             kept.clear();
             told[round] = (with - used()) / (double) copies;
-            inTimeNow();
+            checkTimeLimitNow();
         }
         Arrays.sort(told);
         results.add("module.memory_bytes", "listed_servers", size, told[1], "bytes");
@@ -219,21 +219,21 @@
     private void customers(int size, int many) {
         cost(size, many, "customers", many);
         Load load = new Load(many);
-        load.node.servers(new EndpointInventory(size, zones).whole(), true);
+        load.node.onEndpoints(new EndpointInventory(size, zones).completeList(), true);
         for (int i = 0; i < many; i++) { // all of them within the time that idle ones are kept
-            load.clock.to(load.clock.now() + 10_000.0 / many, this::inTime);
-            load.node.arrive(new IncomingRequest(
+            load.clock.advanceTo(load.clock.now() + 10_000.0 / many, this::checkTimeLimit);
+            load.node.onRequest(new IncomingRequest(
                     i,
                     ScaleSettings.READ,
                     ScaleSettings.PLAN,
                     load.asking.name(i),
-                    ScaleSettings.DEADLINE,
+                    ScaleSettings.DEADLINE_MS,
                     1,
-                    Math.min(nodes, ScaleSettings.SPREAD),
+                    Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
                     0,
                     false));
         }
-        load.clock.to(load.clock.now() + 2 * ScaleSettings.DEADLINE, this::inTime);
+        load.clock.advanceTo(load.clock.now() + 2 * ScaleSettings.DEADLINE_MS, this::checkTimeLimit);
         load.totals.clear(); // the counter's, not the node's
         long with = used();
         load.node.kill();
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -127,10 +127,10 @@
 
     private void check() throws Exception {
         require(usual.length == 4, "--usual has to be SERVERS,RATE,CUSTOMERS,CHANGES");
-        atLeast(servers, 1, "--servers");
-        atLeast(rates, 1, "--rates");
-        atLeast(customers, 1, "--customers");
-        atLeast(changes, 0, "--changes");
+        requireAtLeast(servers, 1, "--servers");
+        requireAtLeast(rates, 1, "--rates");
+        requireAtLeast(customers, 1, "--customers");
+        requireAtLeast(changes, 0, "--changes");
         require(usual[0] > 0 && usual[1] > 0 && usual[2] > 0 && usual[3] >= 0, "--usual has to be above 0");
         require(
                 seconds > 0 && nodes > 0 && zones > 0 && service >= 0 && counterRate > 0 && counterDelay >= 0,
@@ -140,8 +140,8 @@
     }
 
     private void point(String x, int at, int listed, int rate, int asking, int changing) throws Exception {
-        progress(x + " " + at);
-        inTimeNow();
+        showProgress(x + " " + at);
+        checkTimeLimitNow();
         EventLoopGroup peers = StandInLoops.one();
         EventLoopGroup clients = StandInLoops.one();
         EndpointInventory all = new EndpointInventory(listed, zones);
@@ -223,7 +223,7 @@
     private void await(RealNode node, int milliseconds) throws InterruptedException {
         for (int left = milliseconds; left > 0; left -= STEP) {
             Thread.sleep(STEP);
-            inTimeNow();
+            checkTimeLimitNow();
             require(node.alive(), "the edge node has ended: " + node.log());
         }
     }
--- a/src/main/java/quotagateway/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -28,32 +28,32 @@
     double restarted;
 
     @Override
-    void check() {
+    void checkOptions() {
         require(part > 0 && part <= 1 && restarted >= 0 && restarted <= 1, "--part and --restart-nodes are parts of 1");
     }
 
     @Override
-    void point(int size) {
-        SimulatedFleet fleet = started(size, SETTLED);
-        long[] before = new long[fleet.hosts.length];
+    void measurePoint(int size) {
+        SimulatedFleet fleet = startFleet(size, SETTLED);
+        long[] before = new long[fleet.endpoints.length];
         List<EndpointDescriptor> entries = new ArrayList<>();
-        int cold = (int) Math.max(1, part * fleet.hosts.length);
+        int cold = (int) Math.max(1, part * fleet.endpoints.length);
         double began = fleet.clock.now();
         for (int i = 0; i < cold; i++) {
-            int server = (int) ((long) i * fleet.hosts.length / cold);
-            fleet.hosts[server].restart();
-            entries.add(fleet.servers.entry(server, EndpointState.UP, began));
+            int server = (int) ((long) i * fleet.endpoints.length / cold);
+            fleet.endpoints[server].restart();
+            entries.add(fleet.inventory.descriptor(server, EndpointState.UP, began));
         }
         for (int i = 0; i < before.length; i++) {
-            before[i] = fleet.hosts[i].got;
+            before[i] = fleet.endpoints[i].attemptsReceived;
         }
-        fleet.change(entries);
-        run(fleet, shape.notice[1]);
+        fleet.announceChange(entries);
+        run(fleet, options.maxNoticeDelayMs());
         for (int i = 0; i < (int) (restarted * size); i++) {
             fleet.restart(fleet.nodes[i], 1000, entries);
         }
-        run(fleet, ScaleSettings.WARM_AFTER - shape.notice[1]);
-        tell(fleet, size, before, began + shape.notice[1]);
+        run(fleet, ScaleSettings.SLOW_START_DURATION_MS - options.maxNoticeDelayMs());
+        tell(fleet, size, before, began + options.maxNoticeDelayMs());
     }
 
     /** The fullest window of each server that was cold, of those in which all nodes knew. */
@@ -65,13 +65,13 @@
         double coldGot = 0;
         double warmGot = 0;
         for (int i = 0; i < before.length; i++) {
-            SimulatedEndpoint host = fleet.hosts[i];
-            if (host.sinceCold == null) {
-                warmGot += host.got - before[i];
+            SimulatedEndpoint host = fleet.endpoints[i];
+            if (host.attemptTimesSinceRestart == null) {
+                warmGot += host.attemptsReceived - before[i];
                 continue;
             }
             cold++;
-            coldGot += host.got - before[i];
+            coldGot += host.attemptsReceived - before[i];
             double[] sums = fullest(host, told);
             worst = Math.max(worst, sums[0]);
             mean += sums[0];
@@ -90,17 +90,17 @@
 
     /** The most of its budget that a window had, and by how much one went beyond budget and chance. */
     private static double[] fullest(SimulatedEndpoint host, double told) {
-        double[] times = host.sinceCold.stream()
+        double[] times = host.attemptTimesSinceRestart.stream()
                 .mapToDouble(t -> t)
                 .filter(t -> t >= told)
                 .toArray();
         double most = 0;
         double beyond = 0;
         for (int from = 0, to = 0; from < times.length; from++) {
-            while (to < times.length && times[to] < times[from] + ScaleSettings.OVERLOAD_FOR) {
+            while (to < times.length && times[to] < times[from] + ScaleSettings.OVERLOAD_WINDOW_MS) {
                 to++;
             }
-            double budget = host.budget(times[from], ScaleSettings.OVERLOAD_FOR);
+            double budget = host.overloadBudget(times[from], ScaleSettings.OVERLOAD_WINDOW_MS);
             most = Math.max(most, (to - from) / budget);
             beyond = Math.max(beyond, to - from - budget - 2 * Math.sqrt(budget) - 2);
         }
--- a/src/main/java/quotagateway/scale/RegionsExperiment.java
+++ b/src/main/java/quotagateway/scale/RegionsExperiment.java
@@ -18,18 +18,18 @@
     int seconds;
 
     @Override
-    void check() {
+    void checkOptions() {
         require(seconds > 0, "--seconds has to be above 0");
-        require(shape.regions > 1, "--regions has to be above 1");
+        require(options.regions > 1, "--regions has to be above 1");
     }
 
     @Override
-    void point(int size) {
-        SimulatedFleet fleet = started(size, SETTLED);
+    void measurePoint(int size) {
+        SimulatedFleet fleet = startFleet(size, SETTLED);
         part(fleet, size, "regions.before");
-        fleet.apart(true);
+        fleet.setRegionsPartitioned(true);
         part(fleet, size, "regions.apart");
-        fleet.apart(false);
+        fleet.setRegionsPartitioned(false);
         part(fleet, size, "regions.after");
     }
 
--- a/src/main/java/quotagateway/scale/ScaleCli.java
+++ b/src/main/java/quotagateway/scale/ScaleCli.java
@@ -76,7 +76,7 @@
             RampExperiment ramp = new RampExperiment();
             new CommandLine(ramp).parseArgs("--nodes", "2,4,6,8");
             for (Experiment part : List.of(module, fleet, ramp)) {
-                part.measureFor(this);
+                part.measureWithin(this);
             }
         }
     }
--- a/src/main/java/quotagateway/scale/ScaleSettings.java
+++ b/src/main/java/quotagateway/scale/ScaleSettings.java
@@ -3,91 +3,108 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import quotagateway.config.SettingsReader;
+import quotagateway.policy.api.IncomingRequest;
 import quotagateway.policy.api.PolicySettings;
 
-/** The settings of a run: of no deployment, with each effect, a plan with a quota, and the counter. */
+/**
+ * The settings that every node of a run is given: no real deployment's, but with a request class of each idempotency,
+ * one plan with a quota, and the shared counter.
+ */
 public final class ScaleSettings {
-    /** So many nodes share a customer. */
-    public static final int SPREAD = 4;
+    /** How many gateways share the traffic of one customer. */
+    public static final int GATEWAYS_PER_CUSTOMER = 4;
 
     public static final String READ = "read";
     public static final String KEYED = "write";
-    public static final String UNSAFE = "order";
+    public static final String ONCE = "order";
     public static final String PLAN = "plan";
-    /** What clients wait (ms), and a cold server's share of its capacity and time (ms) until it is warm. */
-    public static final double DEADLINE = 2000;
+    /** How long clients wait for a response (ms). */
+    public static final double DEADLINE_MS = 2000;
+
+    /** The part of its capacity that an endpoint has when it starts. */
+    public static final double SLOW_START_INITIAL_SHARE = 0.25;
+    /** When an endpoint has all of its capacity (ms after its start). */
+    public static final double SLOW_START_DURATION_MS = 10_000;
 
-    public static final double COLD_SHARE = 0.25;
-    public static final double WARM_AFTER = 10_000;
     public static final double OVERLOAD_FACTOR = 3;
-    public static final double OVERLOAD_FOR = 1000;
-    public static final double DRAIN_GRACE = 250;
-    public static final double COUNTER_TIMEOUT = 80;
+    public static final double OVERLOAD_WINDOW_MS = 1000;
+    public static final double DRAIN_GRACE_MS = 250;
+    public static final double COUNTER_TIMEOUT_MS = 80;
 
     private ScaleSettings() {}
 
-    /** The class for a number from 0 to 1: half reads, four in ten keyed, the rest not to be repeated. */
-    static String type(double chance) {
-        return chance < 0.5 ? READ : chance < 0.9 ? KEYED : UNSAFE;
+    /** The class of a request, drawn by a number from 0 to 1: half reads, four in ten keyed, the rest without retry. */
+    static String requestClass(double chance) {
+        return chance < 0.5 ? READ : chance < 0.9 ? KEYED : ONCE;
+    }
+
+    /** A first request of one unit on {@link #PLAN}. */
+    static IncomingRequest request(long id, String requestClass, String customer, int gatewayCount, int firstGateway) {
+        return new IncomingRequest(id, requestClass, PLAN, customer, DEADLINE_MS, 1, gatewayCount, firstGateway, false);
     }
 
-    /** By path, as the settings are told; a list's length is under .count. */
-    public static Map<String, String> keys(int rank, int nodes, int zones) {
-        Map<String, String> k = new LinkedHashMap<>();
-        k.put("rank", "" + rank);
-        k.put("group_size", "" + nodes);
-        k.put("my_zone", EndpointInventory.zoneName(rank % zones));
-        k.put("tick", "2");
-        k.put("discovery", "pushed");
-        k.put("family_info.shared_counter", "true");
-        k.put("family_info.count_limit", "" + COUNTER_TIMEOUT);
-        k.put("family_info.counter_price", "0.02");
-        k.put("family_info.most_units", "1");
-        k.put("limits.cancelling", "true");
-        k.put("limits.retry_after", "true");
-        k.put("limits.max_retry_after", "1000");
-        k.put("limits.send_cap", "3");
-        k.put("limits.keepalive", "15000");
-        k.put("limits.connect_timeout", "250");
-        k.put("contract.grace_to_answer", "16");
-        k.put("contract.drain_grace", "" + DRAIN_GRACE);
-        k.put("contract.cold_share", "" + COLD_SHARE);
-        k.put("contract.warm_after", "" + WARM_AFTER);
-        k.put("contract.overload_factor", "" + OVERLOAD_FACTOR);
-        k.put("contract.overload_for", "" + OVERLOAD_FOR);
-        type(k, 0, READ, "read_like", 500);
-        type(k, 1, KEYED, "idempotency_key", 800);
-        type(k, 2, UNSAFE, "non_idempotent", 1000);
-        k.put("request_classes.count", "3");
-        k.put("tariffs.0.name", PLAN);
-        k.put("tariffs.0.per_second", "2000");
-        k.put("tariffs.0.depth", "4000");
-        k.put("tariffs.0.price", "1");
-        k.put("tariffs.0.over_cost", "1");
-        k.put("tariffs.count", "1");
-        return k;
+    /** The settings of a node by path, as a configuration has them; the length of a list is under {@code .count}. */
+    public static Map<String, String> keys(int nodeIndex, int nodes, int zones) {
+        Map<String, String> keys = new LinkedHashMap<>();
+        keys.put("rank", "" + nodeIndex);
+        keys.put("group_size", "" + nodes);
+        keys.put("my_zone", EndpointInventory.zoneName(nodeIndex % zones));
+        keys.put("tick", "2");
+        keys.put("discovery", "pushed");
+        keys.put("family_info.shared_counter", "true");
+        keys.put("family_info.count_limit", "" + COUNTER_TIMEOUT_MS);
+        keys.put("family_info.counter_price", "0.02");
+        keys.put("family_info.most_units", "1");
+        keys.put("limits.cancelling", "true");
+        keys.put("limits.retry_after", "true");
+        keys.put("limits.max_retry_after", "1000");
+        keys.put("limits.send_cap", "3");
+        keys.put("limits.keepalive", "15000");
+        keys.put("limits.connect_timeout", "250");
+        keys.put("contract.grace_to_answer", "16");
+        keys.put("contract.drain_grace", "" + DRAIN_GRACE_MS);
+        keys.put("contract.cold_share", "" + SLOW_START_INITIAL_SHARE);
+        keys.put("contract.warm_after", "" + SLOW_START_DURATION_MS);
+        keys.put("contract.overload_factor", "" + OVERLOAD_FACTOR);
+        keys.put("contract.overload_for", "" + OVERLOAD_WINDOW_MS);
+        putRequestClass(keys, 0, READ, "read_like", 500);
+        putRequestClass(keys, 1, KEYED, "idempotency_key", 800);
+        putRequestClass(keys, 2, ONCE, "non_idempotent", 1000);
+        keys.put("request_classes.count", "3");
+        keys.put("tariffs.0.name", PLAN);
+        keys.put("tariffs.0.per_second", "2000");
+        keys.put("tariffs.0.depth", "4000");
+        keys.put("tariffs.0.price", "1");
+        keys.put("tariffs.0.over_cost", "1");
+        keys.put("tariffs.count", "1");
+        return keys;
     }
 
-    private static void type(Map<String, String> k, int i, String name, String effect, double aim) {
-        String at = "request_classes." + i + ".";
-        k.put(at + "name", name);
-        k.put(at + "effect", effect);
-        k.put(at + "group", "zone");
-        k.put(at + "aim", "" + aim);
-        k.put(at + "hard_limit", "" + DEADLINE);
-        k.put(at + "worth", "1");
-        k.put(at + "repeat_window", "5000");
+    private static void putRequestClass(
+            Map<String, String> keys, int index, String name, String effect, double latencyObjectiveMs) {
+        String path = "request_classes." + index + ".";
+        keys.put(path + "name", name);
+        keys.put(path + "effect", effect);
+        keys.put(path + "group", "zone");
+        keys.put(path + "aim", "" + latencyObjectiveMs);
+        keys.put(path + "hard_limit", "" + DEADLINE_MS);
+        keys.put(path + "worth", "1");
+        keys.put(path + "repeat_window", "5000");
     }
 
-    /** The settings of one node; what is the same for all nodes is shared with the first one's. */
-    static PolicySettings settings(PolicySettings first, int rank, int nodes, int zones) {
+    /**
+     * The settings of one node as the policy takes them.
+     *
+     * @param first settings of another node of the fleet, whose common parts are shared, or null to read all of them
+     */
+    static PolicySettings settings(PolicySettings first, int nodeIndex, int nodes, int zones) {
         if (first == null) {
-            return SettingsReader.read(keys(rank, nodes, zones));
+            return SettingsReader.read(keys(nodeIndex, nodes, zones));
         }
         return new PolicySettings(
-                rank,
+                nodeIndex,
                 nodes,
-                EndpointInventory.zoneName(rank % zones),
+                EndpointInventory.zoneName(nodeIndex % zones),
                 first.tick(),
                 first.mustSubscribe(),
                 first.reportsActualUnits(),
--- a/src/main/java/quotagateway/scale/SimulatedCounter.java
+++ b/src/main/java/quotagateway/scale/SimulatedCounter.java
@@ -4,46 +4,52 @@
 import java.util.Map;
 import quotagateway.policy.api.CallOutcome;
 
-/** The counter on the virtual clock: one line of calls, so many a second, and a way there and back. */
+/**
+ * The shared counter on the virtual clock: one queue that serves a limited number of calls a second, at the end of a
+ * network way. A call whose reply would come after the caller's time limit is added all the same, as a real counter
+ * under load does.
+ */
 final class SimulatedCounter {
     private final VirtualClock clock;
-    private final double perCall;
-    private final double way;
+    private final double msPerCall;
+    private final double roundTripMs;
     private final Map<Long, Double> totals = new HashMap<>();
-    private double free;
+    private double queueEmptyAt;
     long calls;
-    long late;
+    long lateCalls;
 
-    SimulatedCounter(VirtualClock clock, double perSecond, double way) {
+    SimulatedCounter(VirtualClock clock, double callsPerSecond, double roundTripMs) {
         this.clock = clock;
-        perCall = 1000 / perSecond;
-        this.way = way;
+        msPerCall = 1000 / callsPerSecond;
+        this.roundTripMs = roundTripMs;
     }
 
-    /** A call that has its turn too late is added all the same, and its caller waits no longer. */
+    /** Queues a call of a node, which is told the new total, or that its call timed out. */
     void add(SimulatedNode from, long name, double amount) {
         calls++;
-        double asked = clock.now();
-        int life = from.life();
-        free = Math.max(free, asked + way / 2) + perCall;
-        boolean isLate = free + way / 2 - asked > ScaleSettings.COUNTER_TIMEOUT;
-        clock.after(free - asked, () -> {
+        double calledAt = clock.now();
+        int calledBy = from.processNumber();
+        queueEmptyAt = Math.max(queueEmptyAt, calledAt + roundTripMs / 2) + msPerCall;
+        boolean late = queueEmptyAt + roundTripMs / 2 - calledAt > ScaleSettings.COUNTER_TIMEOUT_MS;
+        clock.schedule(queueEmptyAt - calledAt, () -> {
             double total = totals.merge(name, amount, Double::sum);
-            if (!isLate) {
-                clock.after(way / 2, () -> from.counted(life, name, CallOutcome.OK, clock.now() - asked, total));
+            if (!late) {
+                clock.schedule(
+                        roundTripMs / 2,
+                        () -> from.onCounterReply(calledBy, name, CallOutcome.OK, clock.now() - calledAt, total));
             }
         });
-        if (isLate) {
-            late++;
-            silent(from, name);
+        if (late) {
+            lateCalls++;
+            loseCall(from, name);
         }
     }
 
-    /** A call that is never answered. */
-    void silent(SimulatedNode from, long name) {
-        int life = from.life();
-        clock.after(
-                ScaleSettings.COUNTER_TIMEOUT,
-                () -> from.counted(life, name, CallOutcome.TIMEOUT, ScaleSettings.COUNTER_TIMEOUT, 0));
+    /** Lets a call of a node time out. */
+    void loseCall(SimulatedNode from, long name) {
+        int calledBy = from.processNumber();
+        clock.schedule(
+                ScaleSettings.COUNTER_TIMEOUT_MS,
+                () -> from.onCounterReply(calledBy, name, CallOutcome.TIMEOUT, ScaleSettings.COUNTER_TIMEOUT_MS, 0));
     }
 }
--- a/src/main/java/quotagateway/scale/SimulatedEndpoint.java
+++ b/src/main/java/quotagateway/scale/SimulatedEndpoint.java
@@ -3,99 +3,114 @@
 import java.util.ArrayDeque;
 import quotagateway.policy.api.CallOutcome;
 
-/** A place server on the virtual clock: slots, a bounded queue, and a slow start after it was cold. */
+/** An endpoint on the virtual clock: slots, a bounded queue, and slow start after a restart. */
 final class SimulatedEndpoint {
+    /** How connections to it end. */
     enum Availability {
         UP,
-        REFUSES,
+        /** The process is gone, its machine refuses connections. */
+        REFUSING,
+        /** The machine is gone: connections time out. */
         SILENT
     }
 
-    /** What it is and can do; shared by all servers of a run. */
-    record Capacity(int slots, int queue, double service) {
-        /** Requests a second that a warm one can serve. */
-        double capacity() {
-            return 1000 * slots / service;
+    /**
+     * What each endpoint of a run can do.
+     *
+     * @param slots requests that it serves at once
+     * @param queueLength requests that it holds besides
+     * @param serviceMs mean time of a request in a slot, once slow start is over
+     */
+    record Capacity(int slots, int queueLength, double serviceMs) {
+        /** Requests a second that it can serve once slow start is over. */
+        double requestsPerSecond() {
+            return 1000 * slots / serviceMs;
         }
     }
 
-    private record Job(double work, Runnable done) {}
+    private record Job(double serviceMs, Runnable whenDone) {}
 
-    private final Capacity kind;
+    private final Capacity capacity;
     private final VirtualClock clock;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private int busy;
-    private double coldFrom = Double.NEGATIVE_INFINITY;
-    private int process;
-    Availability life = Availability.UP;
-    long got;
-    double lastGot;
-    /** When each attempt came since it was cold; null where it was never so. */
-    ArrayDeque<Double> sinceCold;
+    private int busySlots;
+    private double slowStartBegan = Double.NEGATIVE_INFINITY;
+    /** Counts restarts and stops; jobs of an earlier process never end. */
+    private int processNumber;
 
-    SimulatedEndpoint(Capacity kind, VirtualClock clock) {
-        this.kind = kind;
+    Availability availability = Availability.UP;
+    long attemptsReceived;
+    double lastAttemptAt;
+    /** When each attempt since the last restart came; null before the first restart. */
+    ArrayDeque<Double> attemptTimesSinceRestart;
+
+    SimulatedEndpoint(Capacity capacity, VirtualClock clock) {
+        this.capacity = capacity;
         this.clock = clock;
     }
 
-    /** Starts as a new process; what the old one had is lost. */
+    /** Starts as a new process; what the old one had in hand is lost. */
     void restart() {
-        process++;
-        busy = 0;
-        queue.clear();
-        coldFrom = clock.now();
-        sinceCold = new ArrayDeque<>();
-        life = Availability.UP;
+        stop(Availability.UP);
+        slowStartBegan = clock.now();
+        attemptTimesSinceRestart = new ArrayDeque<>();
     }
 
-    /** Ends: silent where its machine vanishes, refusing where only the process is gone. */
-    void end(Availability as) {
-        process++;
-        busy = 0;
+    /** Ends the process; what it had in hand is lost. */
+    void stop(Availability next) {
+        processNumber++;
+        busySlots = 0;
         queue.clear();
-        life = as;
+        availability = next;
     }
 
     /** The part of its capacity that it has at a time. */
-    double speed(double at) {
-        double age = at - coldFrom;
-        return age >= ScaleSettings.WARM_AFTER
+    double warmupFraction(double at) {
+        double age = at - slowStartBegan;
+        double initialShare = ScaleSettings.SLOW_START_INITIAL_SHARE;
+        return age >= ScaleSettings.SLOW_START_DURATION_MS
                 ? 1
-                : ScaleSettings.COLD_SHARE + (1 - ScaleSettings.COLD_SHARE) * age / ScaleSettings.WARM_AFTER;
+                : initialShare + (1 - initialShare) * age / ScaleSettings.SLOW_START_DURATION_MS;
     }
 
-    /** What falls it over: so many attempts in a window (ms) that began then, by the contract's factor. */
-    double budget(double from, double window) {
-        return ScaleSettings.OVERLOAD_FACTOR * kind.capacity() * speed(from) * window / 1000;
+    /** How many attempts overload it in a window (ms) that begins at a time. */
+    double overloadBudget(double from, double windowMs) {
+        return ScaleSettings.OVERLOAD_FACTOR * capacity.requestsPerSecond() * warmupFraction(from) * windowMs / 1000;
     }
 
-    /** Takes work (ms, as a warm server needs) or turns it away. */
-    CallOutcome take(double work, Runnable done) {
-        got++;
-        lastGot = clock.now();
-        if (sinceCold != null) {
-            sinceCold.add(lastGot);
+    /**
+     * Takes a request.
+     *
+     * @param serviceMs how long it takes in a slot, once slow start is over
+     * @param whenDone run when it is served
+     * @return null, or {@link CallOutcome#FULL} where slots and queue are full
+     */
+    CallOutcome accept(double serviceMs, Runnable whenDone) {
+        attemptsReceived++;
+        lastAttemptAt = clock.now();
+        if (attemptTimesSinceRestart != null) {
+            attemptTimesSinceRestart.add(lastAttemptAt);
         }
-        if (busy < kind.slots) {
-            begin(new Job(work, done));
-        } else if (queue.size() < kind.queue) {
-            queue.add(new Job(work, done));
+        if (busySlots < capacity.slots) {
+            serve(new Job(serviceMs, whenDone));
+        } else if (queue.size() < capacity.queueLength) {
+            queue.add(new Job(serviceMs, whenDone));
         } else {
             return CallOutcome.FULL;
         }
         return null;
     }
 
-    private void begin(Job job) {
-        busy++;
-        int then = process;
-        clock.after(job.work / speed(clock.now()), () -> {
-            if (then == process) {
-                busy--;
-                job.done.run();
+    private void serve(Job job) {
+        busySlots++;
+        int servedBy = processNumber;
+        clock.schedule(job.serviceMs / warmupFraction(clock.now()), () -> {
+            if (servedBy == processNumber) {
+                busySlots--;
+                job.whenDone.run();
                 Job next = queue.poll();
                 if (next != null) {
-                    begin(next);
+                    serve(next);
                 }
             }
         });
--- a/src/main/java/quotagateway/scale/SimulatedFleet.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleet.java
@@ -5,97 +5,106 @@
 import org.HdrHistogram.Histogram;
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointDescriptor;
-import quotagateway.policy.api.IncomingRequest;
 import quotagateway.policy.api.PolicySettings;
 
 /**
- * A fleet of hollow nodes on one virtual clock, before hollow servers and one counter. Load is an open loop:
- * requests come when they come, by one seed, uneven over customers.
+ * A fleet of simulated nodes on one virtual clock, with simulated endpoints and one simulated counter. The load is an
+ * open loop: requests arrive at random times drawn from one seed, whether or not earlier ones were served, and some
+ * customers call much more than others. The same options, size and seed give the same run.
  */
 final class SimulatedFleet implements SimulatedNode.Peers {
-    static final double START = 1_700_000_000_000.0;
-    /** To a server and back (ms), and until a connection that cannot be made is given up. */
-    private static final double WAY = 0.5;
-
-    private static final double CONNECT_TIMEOUT = 250;
-    /** Nodes have their first list within this (ms), so that they don't act in step. */
-    private static final double FIRST_LIST = 200;
-
-    final VirtualClock clock = new VirtualClock(START);
-    final FleetOptions shape;
-    final EndpointInventory servers;
-    final SimulatedEndpoint[] hosts;
+    /** The clock at the start of a run: a time like that of a real node, far from 0. */
+    static final double START_MS = 1_700_000_000_000.0;
+    /** The way to an endpoint and back. */
+    private static final double ENDPOINT_ROUND_TRIP_MS = 0.5;
+
+    /** How long a node waits for a connection that cannot be made. */
+    private static final double CONNECT_TIMEOUT_MS = 250;
+    /** Nodes get their first list at random within this time, so that they don't act in step. */
+    private static final double FIRST_LIST_WITHIN_MS = 200;
+
+    final VirtualClock clock = new VirtualClock(START_MS);
+    final FleetOptions options;
+    final EndpointInventory inventory;
+    final SimulatedEndpoint[] endpoints;
     final SimulatedNode[] nodes;
     final SimulatedCounter counter;
     final Histogram latency = new Histogram(3);
     final SplittableRandom random;
     private final CustomerPopulation customers;
-    private final Runnable between;
-    private final List<EndpointDescriptor> whole;
+    private final Runnable beforeEachEvent;
+    private final List<EndpointDescriptor> completeList;
     private long arrivals;
-    private boolean apart;
+    private boolean regionsPartitioned;
     private boolean discoverySilent;
 
-    SimulatedFleet(FleetOptions shape, int size, long seed, Runnable between) {
-        this.shape = shape;
-        this.between = between;
+    /**
+     * A fleet that has not started.
+     *
+     * @param size number of nodes
+     * @param seed of all random draws
+     * @param beforeEachEvent run before each event of the clock; ends the run by throwing
+     */
+    SimulatedFleet(FleetOptions options, int size, long seed, Runnable beforeEachEvent) {
+        this.options = options;
+        this.beforeEachEvent = beforeEachEvent;
         random = new SplittableRandom(seed);
-        servers = new EndpointInventory(shape.servers(size), shape.zones);
-        whole = servers.whole();
-        customers = new CustomerPopulation(shape.customers(size), CustomerPopulation.SKEW);
-        counter = new SimulatedCounter(clock, shape.counterRate, shape.counterWay);
-        hosts = new SimulatedEndpoint[servers.size()];
-        for (int i = 0; i < hosts.length; i++) {
-            hosts[i] = new SimulatedEndpoint(shape.kind(), clock);
+        inventory = new EndpointInventory(options.endpointCount(size), options.zones);
+        completeList = inventory.completeList();
+        customers = new CustomerPopulation(options.customerCount(size), CustomerPopulation.SKEW);
+        counter = new SimulatedCounter(clock, options.counterCallsPerSecond, options.counterRoundTripMs);
+        endpoints = new SimulatedEndpoint[inventory.size()];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = new SimulatedEndpoint(options.endpointCapacity(), clock);
         }
         nodes = new SimulatedNode[size];
-        PolicySettings first = null;
+        PolicySettings shared = null;
         for (int i = 0; i < size; i++) {
-            PolicySettings settings = ScaleSettings.settings(first, i, size, shape.zones);
-            first = first == null ? settings : first;
+            PolicySettings settings = ScaleSettings.settings(shared, i, size, options.zones);
+            shared = shared == null ? settings : shared;
             nodes[i] = new SimulatedNode(settings, clock, this, latency);
         }
     }
 
-    /** All nodes come up, and load begins. */
+    /** Starts all nodes, and the load once they have their first lists. */
     void start() {
         for (SimulatedNode node : nodes) {
             node.start(random.nextLong());
-            clock.after(FIRST_LIST * random.nextDouble(), () -> node.servers(whole, true));
+            clock.schedule(FIRST_LIST_WITHIN_MS * random.nextDouble(), () -> node.onEndpoints(completeList, true));
         }
-        clock.after(FIRST_LIST, this::next);
+        clock.schedule(FIRST_LIST_WITHIN_MS, this::scheduleNextRequest);
     }
 
+    /** Moves the clock on, with all that happens meanwhile. */
     void run(double milliseconds) {
-        clock.to(clock.now() + milliseconds, between);
+        clock.advanceTo(clock.now() + milliseconds, beforeEachEvent);
     }
 
-    private void next() {
-        clock.after(-1000 / (shape.rate * nodes.length) * Math.log(1 - random.nextDouble()), this::next);
+    private void scheduleNextRequest() {
+        clock.schedule(
+                -1000 / (options.requestsPerSecond * nodes.length) * Math.log(1 - random.nextDouble()),
+                this::scheduleNextRequest);
         int customer = customers.pick(random);
-        int first = CustomerPopulation.first(customer, nodes.length);
-        int spread = Math.min(nodes.length, ScaleSettings.SPREAD);
-        SimulatedNode node = nodes[(first + random.nextInt(spread)) % nodes.length];
+        int first = CustomerPopulation.firstNode(customer, nodes.length);
+        int gatewayCount = Math.min(nodes.length, ScaleSettings.GATEWAYS_PER_CUSTOMER);
+        SimulatedNode node = nodes[(first + random.nextInt(gatewayCount)) % nodes.length];
         arrivals++;
-        if (node.up()) { // the front takes it elsewhere in time; meanwhile it is lost with the node
-            node.arrive(new IncomingRequest(
+        if (node.isUp()) { // a load balancer would soon send it elsewhere; until then it is lost with the node
+            node.onRequest(ScaleSettings.request(
                     arrivals,
-                    ScaleSettings.type(random.nextDouble()),
-                    ScaleSettings.PLAN,
+                    ScaleSettings.requestClass(random.nextDouble()),
                     customers.name(customer),
-                    ScaleSettings.DEADLINE,
-                    1,
-                    spread,
-                    first,
-                    false));
+                    gatewayCount,
+                    first));
         }
     }
 
+    /** Requests that have arrived so far, at nodes that are down too. */
     long arrivals() {
         return arrivals;
     }
 
-    /** Requests answered with a value so far. */
+    /** Requests served so far. */
     long served() {
         long sum = 0;
         for (SimulatedNode node : nodes) {
@@ -104,92 +113,97 @@
         return sum;
     }
 
-    /** Requests answered in any way, or given up, so far. */
+    /** Requests served, rejected or failed so far. */
     long ended() {
         long sum = 0;
         for (SimulatedNode node : nodes) {
-            sum += node.served + node.refused + node.failed;
+            sum += node.served + node.rejected + node.failed;
         }
         return sum;
     }
 
-    /** Connections that nodes keep to each server. */
+    /** How many nodes keep connections to each endpoint. */
     long[] connections() {
-        long[] sum = new long[hosts.length];
+        long[] sum = new long[endpoints.length];
         for (SimulatedNode node : nodes) {
-            node.kept().stream().forEach(i -> sum[i]++);
+            node.retainedEndpoints().stream().forEach(i -> sum[i]++);
         }
         return sum;
     }
 
     // ---- discovery ----
 
-    /** A change that each node hears at a time of its own, unless discovery is silent. */
-    void change(List<EndpointDescriptor> entries) {
+    /** Tells each node of changed endpoints, after a delay of its own; none while discovery is silent. */
+    void announceChange(List<EndpointDescriptor> changed) {
         for (SimulatedNode node : nodes) {
-            double delay = shape.notice[0] + (shape.notice[1] - shape.notice[0]) * random.nextDouble();
-            clock.after(delay, () -> {
+            double delay = options.minNoticeDelayMs()
+                    + (options.maxNoticeDelayMs() - options.minNoticeDelayMs()) * random.nextDouble();
+            clock.schedule(delay, () -> {
                 if (!discoverySilent) {
-                    node.servers(entries, false);
+                    node.onEndpoints(changed, false);
                 }
             });
         }
     }
 
-    void silence(boolean discovery) {
-        discoverySilent = discovery;
+    /** Whether changes get lost on the way from here on. */
+    void setDiscoverySilent(boolean silent) {
+        discoverySilent = silent;
     }
 
-    /** Regions lose each other: the counter is in the first one, and servers are reached within one's own. */
-    void apart(boolean now) {
-        apart = now;
+    /**
+     * Whether regions cannot reach each other: nodes then reach endpoints of their own region only, and only those of
+     * the first one reach the counter.
+     */
+    void setRegionsPartitioned(boolean partitioned) {
+        regionsPartitioned = partitioned;
     }
 
-    /** Killed together, and back with nothing known after a while; the list and its changes are there. */
-    void restart(SimulatedNode node, double away, List<EndpointDescriptor> changed) {
+    /** Kills a node and starts it after a time (ms), with the first list and the changes that came since. */
+    void restart(SimulatedNode node, double downMs, List<EndpointDescriptor> changed) {
         node.kill();
-        clock.after(away, () -> {
+        clock.schedule(downMs, () -> {
             node.start(random.nextLong());
-            node.servers(whole, true);
-            node.servers(changed, false);
+            node.onEndpoints(completeList, true);
+            node.onEndpoints(changed, false);
         });
     }
 
-    private boolean reach(SimulatedNode node, int zone) {
-        return !apart || node.rank % shape.zones % shape.regions == zone % shape.regions;
+    private boolean isReachable(SimulatedNode node, int zone) {
+        return !regionsPartitioned || node.index % options.zones % options.regions == zone % options.regions;
     }
 
-    // ---- what nodes meet ----
+    // ---- peers of the nodes ----
 
     @Override
-    public void attempt(SimulatedNode node, SimulatedNode.Attempt a) {
-        double work = -shape.service * Math.log(1 - random.nextDouble());
-        clock.after(WAY / 2, () -> {
-            SimulatedEndpoint host = hosts[a.server];
-            boolean reached = reach(node, servers.zone(a.server));
-            if (!reached || host.life == SimulatedEndpoint.Availability.SILENT) {
-                clock.after(CONNECT_TIMEOUT, () -> node.ended(a, CallOutcome.NO_CONNECTION));
+    public void sendAttempt(SimulatedNode node, SimulatedNode.Attempt attempt) {
+        double serviceMs = -options.serviceMs * Math.log(1 - random.nextDouble());
+        clock.schedule(ENDPOINT_ROUND_TRIP_MS / 2, () -> {
+            SimulatedEndpoint endpoint = endpoints[attempt.endpoint];
+            boolean reachable = isReachable(node, inventory.zone(attempt.endpoint));
+            if (!reachable || endpoint.availability == SimulatedEndpoint.Availability.SILENT) {
+                clock.schedule(CONNECT_TIMEOUT_MS, () -> node.onAttemptEnded(attempt, CallOutcome.NO_CONNECTION));
                 return;
             }
-            CallOutcome at = host.life == SimulatedEndpoint.Availability.REFUSES
+            CallOutcome rejection = endpoint.availability == SimulatedEndpoint.Availability.REFUSING
                     ? CallOutcome.NO_CONNECTION
-                    : host.take(work, () -> back(node, a, CallOutcome.OK));
-            if (at != null) {
-                back(node, a, at);
+                    : endpoint.accept(serviceMs, () -> respond(node, attempt, CallOutcome.OK));
+            if (rejection != null) {
+                respond(node, attempt, rejection);
             }
         });
     }
 
-    private void back(SimulatedNode node, SimulatedNode.Attempt a, CallOutcome outcome) {
-        clock.after(WAY / 2, () -> node.ended(a, outcome));
+    private void respond(SimulatedNode node, SimulatedNode.Attempt attempt, CallOutcome outcome) {
+        clock.schedule(ENDPOINT_ROUND_TRIP_MS / 2, () -> node.onAttemptEnded(attempt, outcome));
     }
 
     @Override
-    public void count(SimulatedNode node, long name, double amount) {
-        if (reach(node, 0)) {
+    public void addToCounter(SimulatedNode node, long name, double amount) {
+        if (isReachable(node, 0)) {
             counter.add(node, name, amount);
         } else {
-            counter.silent(node, name);
+            counter.loseCall(node, name);
         }
     }
 }
--- a/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
@@ -6,10 +6,10 @@
 
 /** An experiment on fleets of hollow nodes, a point for each size. */
 abstract class SimulatedFleetExperiment extends Experiment {
-    private static final double STEP = 100;
+    private static final double STEP_MS = 100;
 
     @Mixin
-    FleetOptions shape;
+    FleetOptions options;
 
     @Option(
             names = "--nodes",
@@ -18,33 +18,33 @@
             description = "hollow nodes, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
-    abstract void point(int size) throws Exception;
+    abstract void measurePoint(int size) throws Exception;
 
     /** What is wrong with the options. */
-    abstract void check();
+    abstract void checkOptions();
 
     @Override
     void measure() throws Exception {
-        shape.check();
-        atLeast(sizes, 1, "--nodes");
-        check();
+        options.check();
+        requireAtLeast(sizes, 1, "--nodes");
+        checkOptions();
         for (int size : sizes) {
-            point(size);
+            measurePoint(size);
         }
     }
 
-    SimulatedFleet started(int size, double settled) {
-        SimulatedFleet fleet = new SimulatedFleet(shape, size, seed, this::inTime);
+    SimulatedFleet startFleet(int size, double settled) {
+        SimulatedFleet fleet = new SimulatedFleet(options, size, seed, this::checkTimeLimit);
         fleet.start();
         run(fleet, settled);
         return fleet;
     }
 
     void run(SimulatedFleet fleet, double milliseconds) {
-        for (double left = milliseconds; left > 0; left -= STEP) {
-            fleet.run(Math.min(STEP, left));
-            progress(fleet.nodes.length + " nodes, " + fleet.servers.size() + " servers, virtual second "
-                    + Math.round((fleet.clock.now() - SimulatedFleet.START) / 1000));
+        for (double left = milliseconds; left > 0; left -= STEP_MS) {
+            fleet.run(Math.min(STEP_MS, left));
+            showProgress(fleet.nodes.length + " nodes, " + fleet.inventory.size() + " servers, virtual second "
+                    + Math.round((fleet.clock.now() - SimulatedFleet.START_MS) / 1000));
         }
     }
 }
--- a/src/main/java/quotagateway/scale/SimulatedNode.java
+++ b/src/main/java/quotagateway/scale/SimulatedNode.java
@@ -22,26 +22,26 @@
     /** What a node meets; both call back on the clock, never at once. */
     interface Peers {
         /** Begins an attempt at a server. */
-        void attempt(SimulatedNode node, Attempt attempt);
+        void sendAttempt(SimulatedNode node, Attempt attempt);
 
         /** Adds to a name of the counter. */
-        void count(SimulatedNode node, long name, double amount);
+        void addToCounter(SimulatedNode node, long name, double amount);
     }
 
     /** A request that came to a node. */
     static final class PendingRequest {
         final long id;
-        final String type;
-        final double arrived;
+        final String requestClass;
+        final double arrivedAt;
         final double deadline;
         final List<Attempt> attempts = new ArrayList<>(1);
-        boolean over;
-        int out;
+        boolean completed;
+        int inFlight;
 
         PendingRequest(IncomingRequest told, double now) {
             id = told.id();
-            type = told.requestClass();
-            arrived = now;
+            requestClass = told.requestClass();
+            arrivedAt = now;
             deadline = now + told.clientTimeout();
         }
     }
@@ -50,40 +50,40 @@
     static final class Attempt {
         final PendingRequest request;
         final int number;
-        final int server;
-        final double sent;
-        final int life;
-        boolean done;
+        final int endpoint;
+        final double sentAt;
+        final int processNumber;
+        boolean ended;
 
         Attempt(PendingRequest request, int number, int server, double sent, int life) {
             this.request = request;
             this.number = number;
-            this.server = server;
-            this.sent = sent;
-            this.life = life;
+            this.endpoint = server;
+            this.sentAt = sent;
+            this.processNumber = life;
         }
     }
 
-    final int rank;
+    final int index;
     private final VirtualClock clock;
     private final Peers peers;
     private final PolicySettings settings;
-    private final Map<Long, PendingRequest> open = new HashMap<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
     private final Histogram latency;
-    private final BitSet kept = new BitSet();
-    private PolicyEvents module;
-    private CpuMeter meter;
+    private final BitSet retainedEndpoints = new BitSet();
+    private PolicyEvents policy;
+    private CpuMeter cpuMeter;
     /** Events of a process that was killed are dropped by this. */
-    private int life;
+    private int processNumber;
 
-    long sends;
-    long calls;
+    long attemptsSent;
+    long counterCalls;
     long served;
-    long refused;
+    long rejected;
     long failed;
 
     SimulatedNode(PolicySettings settings, VirtualClock clock, Peers peers, Histogram latency) {
-        rank = settings.nodeIndex();
+        index = settings.nodeIndex();
         this.settings = settings;
         this.clock = clock;
         this.peers = peers;
@@ -92,119 +92,120 @@
 
     /** Starts, or starts again with nothing known. */
     void start(long seed) {
-        life++;
-        open.clear();
-        kept.clear();
-        module = new Policy(settings, seed, clock.now(), this);
+        processNumber++;
+        pendingRequests.clear();
+        retainedEndpoints.clear();
+        policy = new Policy(settings, seed, clock.now(), this);
     }
 
     /** The process ends without a word. */
     void kill() {
-        life++;
-        module = null;
-        open.clear();
-        kept.clear();
+        processNumber++;
+        policy = null;
+        pendingRequests.clear();
+        retainedEndpoints.clear();
     }
 
     /** The servers, by number, that it keeps connections to. */
-    BitSet kept() {
-        return kept;
+    BitSet retainedEndpoints() {
+        return retainedEndpoints;
     }
 
-    boolean up() {
-        return module != null;
+    boolean isUp() {
+        return policy != null;
     }
 
     /** Counts the CPU of the module's events from here on. */
-    void meter(CpuMeter with) {
-        meter = with;
+    void cpuMeter(CpuMeter with) {
+        cpuMeter = with;
     }
 
     // ---- events ----
 
-    void servers(List<EndpointDescriptor> list, boolean whole) {
-        tell(m -> m.onEndpoints(clock.now(), list, whole));
+    void onEndpoints(List<EndpointDescriptor> list, boolean whole) {
+        notifyPolicy(m -> m.onEndpoints(clock.now(), list, whole));
     }
 
-    void arrive(IncomingRequest told) {
+    void onRequest(IncomingRequest told) {
         PendingRequest o = new PendingRequest(told, clock.now());
-        open.put(o.id, o);
-        later(told.clientTimeout(), () -> timeUp(o));
-        tell(m -> m.onRequest(clock.now(), told));
+        pendingRequests.put(o.id, o);
+        later(told.clientTimeout(), () -> onClientTimeout(o));
+        notifyPolicy(m -> m.onRequest(clock.now(), told));
     }
 
     /** The client waits no longer: what is out has timed out, and the module has the last word. */
-    private void timeUp(PendingRequest o) {
+    private void onClientTimeout(PendingRequest o) {
         for (Attempt a : o.attempts) {
-            ended(a, CallOutcome.TIMEOUT);
+            onAttemptEnded(a, CallOutcome.TIMEOUT);
         }
-        if (!o.over) {
-            later(settings.rules().answerGrace(), () -> over(o, () -> failed++));
+        if (!o.completed) {
+            later(settings.rules().answerGrace(), () -> complete(o, () -> failed++));
         }
     }
 
     /** An attempt's outcome; the first good one is the client's. */
-    void ended(Attempt a, CallOutcome outcome) {
-        if (a.done || a.life != life) {
+    void onAttemptEnded(Attempt a, CallOutcome outcome) {
+        if (a.ended || a.processNumber != processNumber) {
             return;
         }
-        a.done = true;
+        a.ended = true;
         PendingRequest o = a.request;
-        o.out--;
+        o.inFlight--;
         if (outcome == CallOutcome.OK) {
-            over(o, () -> {
+            complete(o, () -> {
                 served++;
-                latency.recordValue(Math.max(1, Math.round(1000 * (clock.now() - o.arrived))));
+                latency.recordValue(Math.max(1, Math.round(1000 * (clock.now() - o.arrivedAt))));
             });
         }
-        boolean over = o.over;
-        tell(m -> m.onAttemptEnded(clock.now(), o.id, a.number, outcome, clock.now() - a.sent, over, 0, NO_LOAD));
-        settle(o);
+        boolean over = o.completed;
+        notifyPolicy(
+                m -> m.onAttemptEnded(clock.now(), o.id, a.number, outcome, clock.now() - a.sentAt, over, 0, NO_LOAD));
+        forgetIfEnded(o);
     }
 
-    void counted(int asked, long name, CallOutcome outcome, double took, double total) {
-        if (asked == life) {
-            tell(m -> m.onCounterReply(clock.now(), name, outcome, took, total));
+    void onCounterReply(int asked, long name, CallOutcome outcome, double took, double total) {
+        if (asked == processNumber) {
+            notifyPolicy(m -> m.onCounterReply(clock.now(), name, outcome, took, total));
         }
     }
 
-    int life() {
-        return life;
+    int processNumber() {
+        return processNumber;
     }
 
-    private void over(PendingRequest o, Runnable count) {
-        if (!o.over) {
-            o.over = true;
+    private void complete(PendingRequest o, Runnable count) {
+        if (!o.completed) {
+            o.completed = true;
             count.run();
-            settle(o);
+            forgetIfEnded(o);
         }
     }
 
     /** Forgets a request once it is over and nothing is out for it. */
-    private void settle(PendingRequest o) {
-        if (o.over && o.out == 0) {
-            open.remove(o.id);
+    private void forgetIfEnded(PendingRequest o) {
+        if (o.completed && o.inFlight == 0) {
+            pendingRequests.remove(o.id);
         }
     }
 
-    private void tell(Consumer<PolicyEvents> event) {
-        if (module == null) {
+    private void notifyPolicy(Consumer<PolicyEvents> event) {
+        if (policy == null) {
             return;
         }
-        if (meter == null) {
-            event.accept(module);
+        if (cpuMeter == null) {
+            event.accept(policy);
         } else {
-            meter.begin();
-            event.accept(module);
-            meter.end();
+            cpuMeter.begin();
+            event.accept(policy);
+            cpuMeter.end();
         }
     }
 
     /** On the clock, unless this process has ended by then. */
     private void later(double delay, Runnable what) {
-        int then = life;
-        clock.after(delay, () -> {
-            if (then == life) {
+        int then = processNumber;
+        clock.schedule(delay, () -> {
+            if (then == processNumber) {
                 what.run();
             }
         });
@@ -214,48 +215,48 @@
 
     @Override
     public void sendAttempt(long id, String server, double until) {
-        PendingRequest o = open.get(id);
+        PendingRequest o = pendingRequests.get(id);
         if (o == null) {
             return;
         }
-        Attempt a = new Attempt(o, o.attempts.size(), EndpointInventory.number(server), clock.now(), life);
+        Attempt a = new Attempt(o, o.attempts.size(), EndpointInventory.numberOf(server), clock.now(), processNumber);
         o.attempts.add(a);
-        o.out++;
-        if (o.over) {
-            later(0, () -> ended(a, CallOutcome.NOT_SENT));
+        o.inFlight++;
+        if (o.completed) {
+            later(0, () -> onAttemptEnded(a, CallOutcome.NOT_SENT));
             return;
         }
-        sends++;
-        peers.attempt(this, a);
+        attemptsSent++;
+        peers.sendAttempt(this, a);
     }
 
     @Override
     public void cancelAttempt(long id, int attempt) {
-        PendingRequest o = open.get(id);
+        PendingRequest o = pendingRequests.get(id);
         if (o != null) {
-            later(0, () -> ended(o.attempts.get(attempt), CallOutcome.CANCELLED));
+            later(0, () -> onAttemptEnded(o.attempts.get(attempt), CallOutcome.CANCELLED));
         }
     }
 
     @Override
     public void reject(long id, double retryAfter) {
-        PendingRequest o = open.get(id);
+        PendingRequest o = pendingRequests.get(id);
         if (o != null) {
-            over(o, () -> refused++);
+            complete(o, () -> rejected++);
         }
     }
 
     @Override
     public void fail(long id) {
-        PendingRequest o = open.get(id);
+        PendingRequest o = pendingRequests.get(id);
         if (o != null) {
-            over(o, () -> failed++);
+            complete(o, () -> failed++);
         }
     }
 
     @Override
     public void scheduleTimer(double delay, long token) {
-        later(delay, () -> tell(m -> m.onTimer(clock.now(), token)));
+        later(delay, () -> notifyPolicy(m -> m.onTimer(clock.now(), token)));
     }
 
     @Override
@@ -263,8 +264,8 @@
 
     @Override
     public void addToCounter(long name, double amount, double keepFor) {
-        calls++;
-        peers.count(this, name, amount);
+        counterCalls++;
+        peers.addToCounter(this, name, amount);
     }
 
     @Override
@@ -272,11 +273,11 @@
 
     @Override
     public void retainEndpoint(EndpointDescriptor server) {
-        kept.set(EndpointInventory.number(server.id()));
+        retainedEndpoints.set(EndpointInventory.numberOf(server.id()));
     }
 
     @Override
     public void releaseEndpoint(String server) {
-        kept.clear(EndpointInventory.number(server));
+        retainedEndpoints.clear(EndpointInventory.numberOf(server));
     }
 }
--- a/src/main/java/quotagateway/scale/ZoneLossExperiment.java
+++ b/src/main/java/quotagateway/scale/ZoneLossExperiment.java
@@ -31,36 +31,36 @@
     boolean quiet;
 
     @Override
-    void check() {
+    void checkOptions() {
         require(seconds > 0, "--seconds has to be above 0");
-        require(shape.zones > 1, "--zones has to be above 1");
+        require(options.zones > 1, "--zones has to be above 1");
     }
 
     @Override
-    void point(int size) {
-        SimulatedFleet fleet = started(size, SETTLED);
-        fleet.silence(quiet);
+    void measurePoint(int size) {
+        SimulatedFleet fleet = startFleet(size, SETTLED);
+        fleet.setDiscoverySilent(quiet);
         double usual = share(fleet, 4 * WINDOW);
         long zoneBefore = zoneGot(fleet);
         run(fleet, 4 * WINDOW);
         double zoneUsual = (zoneGot(fleet) - zoneBefore) / 4.0;
         List<EndpointDescriptor> gone = new ArrayList<>();
-        for (int i = 0; i < fleet.hosts.length; i++) {
-            if (fleet.servers.zone(i) == 0) {
-                fleet.hosts[i].end(SimulatedEndpoint.Availability.SILENT);
-                gone.add(fleet.servers.entry(i, EndpointState.REMOVED, 0));
+        for (int i = 0; i < fleet.endpoints.length; i++) {
+            if (fleet.inventory.zone(i) == 0) {
+                fleet.endpoints[i].stop(SimulatedEndpoint.Availability.SILENT);
+                gone.add(fleet.inventory.descriptor(i, EndpointState.REMOVED, 0));
             }
         }
-        fleet.change(gone);
+        fleet.announceChange(gone);
         watch(fleet, size, "loss", usual);
         results.add("zone.kept_after_loss_least", "nodes", size, leastKept(fleet), "servers");
         List<EndpointDescriptor> back = new ArrayList<>();
         for (EndpointDescriptor s : gone) {
-            int server = EndpointInventory.number(s.id());
-            fleet.hosts[server].restart();
-            back.add(fleet.servers.entry(server, EndpointState.UP, fleet.clock.now()));
+            int server = EndpointInventory.numberOf(s.id());
+            fleet.endpoints[server].restart();
+            back.add(fleet.inventory.descriptor(server, EndpointState.UP, fleet.clock.now()));
         }
-        fleet.change(back);
+        fleet.announceChange(back);
         long got = zoneGot(fleet);
         watch(fleet, size, "return", usual);
         results.add(
@@ -103,8 +103,8 @@
         for (SimulatedNode node : fleet.nodes) {
             least = (int) Math.min(
                     least,
-                    node.kept().stream()
-                            .filter(i -> fleet.hosts[i].life == SimulatedEndpoint.Availability.UP)
+                    node.retainedEndpoints().stream()
+                            .filter(i -> fleet.endpoints[i].availability == SimulatedEndpoint.Availability.UP)
                             .count());
         }
         return least;
@@ -112,8 +112,8 @@
 
     private static long zoneGot(SimulatedFleet fleet) {
         long sum = 0;
-        for (int i = 0; i < fleet.hosts.length; i++) {
-            sum += fleet.servers.zone(i) == 0 ? fleet.hosts[i].got : 0;
+        for (int i = 0; i < fleet.endpoints.length; i++) {
+            sum += fleet.inventory.zone(i) == 0 ? fleet.endpoints[i].attemptsReceived : 0;
         }
         return sum;
     }
--- a/src/main/java/quotagateway/scale/soak/ClientFleet.java
+++ b/src/main/java/quotagateway/scale/soak/ClientFleet.java
@@ -171,7 +171,7 @@
     }
 
     private String command(ClientRequest request) {
-        int spread = 1 + random.nextInt(Math.min(settings.nodes(), ScaleSettings.SPREAD));
+        int spread = 1 + random.nextInt(Math.min(settings.nodes(), ScaleSettings.GATEWAYS_PER_CUSTOMER));
         int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
         boolean safe = request.type.idempotency() == Idempotency.IDEMPOTENT;
         String list = "c=" + request.type.name() + ",t="
@@ -180,7 +180,9 @@
                 + (request.type.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
                 + ",units=1,spread="
                 + spread + ",first=" + first;
-        int set = first * ScaleSettings.SPREAD + spread - 1; // a customer has the same set of nodes at any time
+        int set = first * ScaleSettings.GATEWAYS_PER_CUSTOMER
+                + spread
+                - 1; // a customer has the same set of nodes at any time
         String customer = String.format("%016x", set * CUSTOMERS + random.nextInt(CUSTOMERS));
         return safe
                 ? StandInLoops.command("CALL.GET", customer, request.id, list)
--- a/src/main/java/quotagateway/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -204,7 +204,7 @@
         for (Violation found : Oracle.check(
                 new Oracle.Seen(requests, servers::of, lives, injector.news(), injector.discoveryFaults(), lag::at),
                 names,
-                ScaleSettings.DRAIN_GRACE)) {
+                ScaleSettings.DRAIN_GRACE_MS)) {
             violations.add(withLog(found, requests));
         }
         violations.addAll(processes(lives));
--- a/src/test/java/quotagateway/scale/SimulatedFleetTest.java
+++ b/src/test/java/quotagateway/scale/SimulatedFleetTest.java
@@ -28,7 +28,9 @@
     }
 
     private static String figures(SimulatedFleet f) {
-        return Arrays.toString(Arrays.stream(f.hosts).mapToLong(h -> h.got).toArray())
+        return Arrays.toString(Arrays.stream(f.endpoints)
+                        .mapToLong(h -> h.attemptsReceived)
+                        .toArray())
                 + f.served()
                 + ' '
                 + f.counter.calls
@@ -46,10 +48,10 @@
     void eachRequestEndsOnce() {
         SimulatedFleet f = fleet(4, 1);
         f.latency.reset();
-        f.run(ScaleSettings.DEADLINE + 100);
+        f.run(ScaleSettings.DEADLINE_MS + 100);
         long ended = f.ended();
         assertTrue(f.arrivals() - ended >= 0, f.arrivals() + " came, " + ended + " ended");
-        assertTrue(f.arrivals() - ended < shape.rate * 4, "no more open than a second brings");
+        assertTrue(f.arrivals() - ended < shape.requestsPerSecond * 4, "no more open than a second brings");
         assertTrue(f.served() > 0.95 * ended);
     }
 
@@ -57,19 +59,19 @@
     @Test
     void troublesReachTheNodes() {
         SimulatedFleet f = fleet(3, 1);
-        f.change(List.of(f.servers.entry(0, EndpointState.DRAINING, 0)));
-        f.run(shape.notice[1] + 1);
-        long before = f.hosts[0].got;
+        f.announceChange(List.of(f.inventory.descriptor(0, EndpointState.DRAINING, 0)));
+        f.run(shape.noticeDelayMs[1] + 1);
+        long before = f.endpoints[0].attemptsReceived;
         f.run(3000);
-        assertEquals(before, f.hosts[0].got);
-        f.silence(true);
-        f.change(List.of(f.servers.entry(0, EndpointState.UP, 0)));
+        assertEquals(before, f.endpoints[0].attemptsReceived);
+        f.setDiscoverySilent(true);
+        f.announceChange(List.of(f.inventory.descriptor(0, EndpointState.UP, 0)));
         f.run(3000);
-        assertEquals(before, f.hosts[0].got, "discovery is silent");
-        f.hosts[1].end(SimulatedEndpoint.Availability.SILENT);
-        long got = f.hosts[1].got;
+        assertEquals(before, f.endpoints[0].attemptsReceived, "discovery is silent");
+        f.endpoints[1].stop(SimulatedEndpoint.Availability.SILENT);
+        long got = f.endpoints[1].attemptsReceived;
         f.run(3000);
-        assertEquals(got, f.hosts[1].got);
+        assertEquals(got, f.endpoints[1].attemptsReceived);
     }
 
     @Test
@@ -77,25 +79,27 @@
         VirtualClock clock = new VirtualClock(0);
         SimulatedEndpoint host = new SimulatedEndpoint(new SimulatedEndpoint.Capacity(1, 0, 10), clock);
         double[] done = new double[2];
-        host.take(10, () -> done[0] = clock.now());
-        clock.to(1000, () -> {});
+        host.accept(10, () -> done[0] = clock.now());
+        clock.advanceTo(1000, () -> {});
         host.restart();
-        assertEquals(null, host.take(10, () -> done[1] = clock.now()));
-        assertEquals(CallOutcome.FULL, host.take(10, () -> {}));
-        clock.to(2000, () -> {});
+        assertEquals(null, host.accept(10, () -> done[1] = clock.now()));
+        assertEquals(CallOutcome.FULL, host.accept(10, () -> {}));
+        clock.advanceTo(2000, () -> {});
         assertEquals(10, done[0]);
-        assertEquals(1000 + 10 / ScaleSettings.COLD_SHARE, done[1], 1e-6);
+        assertEquals(1000 + 10 / ScaleSettings.SLOW_START_INITIAL_SHARE, done[1], 1e-6);
     }
 
     @Test
     void theCountersLineMakesLateCallsTimeOut() {
         SimulatedFleet f = new SimulatedFleet(shape, 1, 1, () -> {});
         f.nodes[0].start(1);
-        int most = (int) (ScaleSettings.COUNTER_TIMEOUT * shape.counterRate / 1000);
+        int most = (int) (ScaleSettings.COUNTER_TIMEOUT_MS * shape.counterCallsPerSecond / 1000);
         for (int i = 0; i < 2 * most; i++) {
             f.nodes[0].addToCounter(i, 1, 1000);
         }
         assertEquals(2L * most, f.counter.calls);
-        assertTrue(f.counter.late >= most / 2 && f.counter.late <= most + 2, f.counter.late + " of " + 2 * most);
+        assertTrue(
+                f.counter.lateCalls >= most / 2 && f.counter.lateCalls <= most + 2,
+                f.counter.lateCalls + " of " + 2 * most);
     }
 }
