--- a/src/main/java/quotagateway/scale/IndependentNodes.java
+++ b/src/main/java/quotagateway/scale/IndependentNodes.java
@@ -1,9 +1,8 @@
 package quotagateway.scale;
 
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.BitSet;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -13,17 +12,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.HdrHistogram.Histogram;
-import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointDescriptor;
-import quotagateway.policy.api.IncomingRequest;
 import quotagateway.policy.api.PolicySettings;
 
 /**
- * A fleet too large for one memory, one hollow node after another: each sees the whole list and load of its
- * own, and servers that answer without a queue. What lies on a server is summed over all; nodes don't meet.
+ * A fleet too large for one memory, simulated a node at a time: each node has the complete endpoint list, a load of its
+ * own and {@link UnloadedPeers}. Connections and requests at each endpoint are summed over all nodes; beyond that nodes
+ * have no effect on each other.
  */
 final class IndependentNodes {
-    /** Rates are learnt, and a node has its set, by then (virtual ms). */
+    /** By then a node has learnt the rates and chosen its subset of the endpoints (virtual ms). */
     private static final double SETTLE_MS = 3000;
 
     private static final double STEP_MS = 100;
@@ -35,40 +33,44 @@
     private final EndpointInventory inventory;
     private final List<EndpointDescriptor> completeList;
     private final PolicySettings sharedSettings;
-    final AtomicLongArray connectionsPerEndpoint;
-    final AtomicLongArray requestsPerEndpoint;
+    private final AtomicLongArray connectionsPerEndpoint;
+    private final AtomicLongArray requestsPerEndpoint;
     final long[] connectionsPerNode;
     private final AtomicInteger nodesDone = new AtomicInteger();
 
-    IndependentNodes(FleetOptions shape, int size, long seed, int seconds) {
-        this.options = shape;
+    IndependentNodes(FleetOptions options, int size, long seed, int seconds) {
+        this.options = options;
         this.size = size;
         this.seed = seed;
         this.seconds = seconds;
-        inventory = new EndpointInventory(shape.endpointCount(size), shape.zones);
+        inventory = new EndpointInventory(options.endpointCount(size), options.zones);
         completeList = inventory.completeList();
-        sharedSettings = ScaleSettings.settings(null, 0, size, shape.zones);
+        sharedSettings = ScaleSettings.settings(null, 0, size, options.zones);
         connectionsPerEndpoint = new AtomicLongArray(inventory.size());
         requestsPerEndpoint = new AtomicLongArray(inventory.size());
         connectionsPerNode = new long[size];
     }
 
-    /** Runs all nodes on so many threads; between is called meanwhile, and ends the run by throwing. */
-    void run(int threads, Runnable between) throws Exception {
+    /**
+     * Runs all nodes.
+     *
+     * @param whileWaiting run about every second; ends the run by throwing
+     */
+    void run(int threads, Runnable whileWaiting) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<?>> all = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                int rank = i;
-                all.add(pool.submit(() -> simulateNode(rank)));
+                int index = i;
+                all.add(pool.submit(() -> simulateNode(index)));
             }
             for (Future<?> each : all) {
                 while (!each.isDone()) {
-                    between.run();
+                    whileWaiting.run();
                     try {
                         each.get(1, TimeUnit.SECONDS);
                     } catch (TimeoutException e) {
-                        // asked again
+                        // the time limit is checked again
                     }
                 }
                 each.get();
@@ -78,14 +80,17 @@
         }
     }
 
+    /** How far the run is, in words. */
     String progress() {
         return nodesDone.get() + " of " + size + " nodes, " + inventory.size() + " servers";
     }
 
+    /** How many nodes keep connections to each endpoint. */
     long[] connectionsPerEndpoint() {
         return values(connectionsPerEndpoint);
     }
 
+    /** Attempts that each endpoint got in the measured time. */
     long[] requestsPerEndpoint() {
         return values(requestsPerEndpoint);
     }
@@ -98,67 +103,66 @@
         return values;
     }
 
-    private void simulateNode(int rank) {
-        VirtualClock clock = new VirtualClock(SimulatedFleet.START_MS);
-        SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + rank);
-        Map<Long, Double> totals = new HashMap<>();
-        boolean[] measured = new boolean[1];
-        SimulatedNode.Peers peers = new SimulatedNode.Peers() {
-            @Override
-            public void sendAttempt(SimulatedNode node, SimulatedNode.Attempt a) {
-                if (measured[0]) {
-                    requestsPerEndpoint.incrementAndGet(a.endpoint);
-                }
-                clock.schedule(
-                        -options.serviceMs * Math.log(1 - random.nextDouble()),
-                        () -> node.onAttemptEnded(a, CallOutcome.OK));
-            }
+    private void simulateNode(int index) {
+        NodeRun run = new NodeRun(index);
+        run.start();
+        run.advance(SETTLE_MS);
+        run.measured = true;
+        run.advance(seconds * 1000.0);
+        BitSet retained = run.node.retainedEndpoints();
+        retained.stream().forEach(connectionsPerEndpoint::incrementAndGet);
+        connectionsPerNode[index] = retained.cardinality();
+        nodesDone.incrementAndGet();
+    }
 
-            @Override
-            public void addToCounter(SimulatedNode node, long name, double amount) {
-                double total = totals.merge(name, amount, Double::sum);
-                int life = node.processNumber();
-                clock.schedule(
-                        options.counterRoundTripMs,
-                        () -> node.onCounterReply(life, name, CallOutcome.OK, options.counterRoundTripMs, total));
-            }
-        };
-        SimulatedNode node = new SimulatedNode(
-                ScaleSettings.settings(sharedSettings, rank, size, options.zones), clock, peers, new Histogram(3));
-        node.start(random.nextLong());
-        node.onEndpoints(completeList, true);
-        CustomerPopulation customers = new CustomerPopulation(
+    /** One node with a clock, peers and clients of its own. */
+    private final class NodeRun {
+        private final VirtualClock clock = new VirtualClock(SimulatedFleet.START_MS);
+        private final SplittableRandom random;
+        private final SimulatedNode node;
+        private final CustomerPopulation customers = new CustomerPopulation(
                 (int) Math.max(10, options.customersPerNode * ScaleSettings.GATEWAYS_PER_CUSTOMER),
                 CustomerPopulation.SKEW);
-        scheduleNextRequest(clock, random, node, customers, new long[1]);
-        run(clock, SETTLE_MS);
-        measured[0] = true;
-        run(clock, seconds * 1000.0);
-        node.retainedEndpoints().stream().forEach(connectionsPerEndpoint::incrementAndGet);
-        connectionsPerNode[rank] = node.retainedEndpoints().cardinality();
-        nodesDone.incrementAndGet();
-    }
+        private boolean measured;
+        private long requests;
 
-    private static void run(VirtualClock clock, double milliseconds) {
-        for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP_MS) {
-            clock.advanceTo(clock.now() + STEP_MS, () -> {});
+        NodeRun(int index) {
+            random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + index);
+            UnloadedPeers peers =
+                    new UnloadedPeers(clock, random, options.serviceMs, options.counterRoundTripMs, this::countAttempt);
+            node = new SimulatedNode(
+                    ScaleSettings.settings(sharedSettings, index, size, options.zones), clock, peers, new Histogram(3));
         }
-    }
 
-    private void scheduleNextRequest(
-            VirtualClock clock, SplittableRandom random, SimulatedNode node, CustomerPopulation customers, long[] ids) {
-        clock.schedule(-1000 / options.requestsPerSecond * Math.log(1 - random.nextDouble()), () -> {
-            scheduleNextRequest(clock, random, node, customers, ids);
-            node.onRequest(new IncomingRequest(
-                    ++ids[0],
-                    ScaleSettings.requestClass(random.nextDouble()),
-                    ScaleSettings.PLAN,
-                    customers.name(customers.pick(random)),
-                    ScaleSettings.DEADLINE_MS,
-                    1,
-                    Math.min(size, ScaleSettings.GATEWAYS_PER_CUSTOMER),
-                    node.index,
-                    false));
-        });
+        private void countAttempt(int endpoint) {
+            if (measured) {
+                requestsPerEndpoint.incrementAndGet(endpoint);
+            }
+        }
+
+        void start() {
+            node.start(random.nextLong());
+            node.onEndpoints(completeList, true);
+            scheduleNextRequest();
+        }
+
+        /** Moves the clock on in steps; an interrupt ends it. */
+        void advance(double milliseconds) {
+            for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP_MS) {
+                clock.advanceTo(clock.now() + STEP_MS, () -> {});
+            }
+        }
+
+        private void scheduleNextRequest() {
+            clock.schedule(-1000 / options.requestsPerSecond * Math.log(1 - random.nextDouble()), () -> {
+                scheduleNextRequest();
+                node.onRequest(ScaleSettings.request(
+                        ++requests,
+                        ScaleSettings.requestClass(random.nextDouble()),
+                        customers.name(customers.pick(random)),
+                        Math.min(size, ScaleSettings.GATEWAYS_PER_CUSTOMER),
+                        node.index));
+            });
+        }
     }
 }
--- a/src/main/java/quotagateway/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -3,16 +3,12 @@
 import java.lang.ref.Reference;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointState;
-import quotagateway.policy.api.IncomingRequest;
 
 /** The decision module alone: what a request, a change of the list and its state cost. */
 @Command(
@@ -76,19 +72,18 @@
     int pointSeconds;
 
     /** One module with its load. */
-    private final class Load implements SimulatedNode.Peers {
+    private final class Load {
         final VirtualClock clock = new VirtualClock(START);
         final CpuMeter meter = new CpuMeter();
-        final Histogram latency = new Histogram(3);
         final CustomerPopulation asking;
         final SplittableRandom random = new SplittableRandom(seed);
-        final Map<Long, Double> totals = new HashMap<>();
+        final UnloadedPeers peers = new UnloadedPeers(clock, random, service, 1, endpoint -> {});
         final SimulatedNode node;
         long requests;
 
         Load(int customers) {
             asking = new CustomerPopulation(customers, CustomerPopulation.SKEW);
-            node = new SimulatedNode(ScaleSettings.settings(null, 0, nodes, zones), clock, this, latency);
+            node = new SimulatedNode(ScaleSettings.settings(null, 0, nodes, zones), clock, peers, new Histogram(3));
             node.start(seed);
         }
 
@@ -96,16 +91,12 @@
             clock.schedule(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
                 next();
                 int customer = asking.pick(random);
-                node.onRequest(new IncomingRequest(
+                node.onRequest(ScaleSettings.request(
                         ++requests,
                         ScaleSettings.requestClass(random.nextDouble()),
-                        ScaleSettings.PLAN,
                         asking.name(customer),
-                        ScaleSettings.DEADLINE_MS,
-                        1,
                         Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
-                        0,
-                        false));
+                        0));
             });
         }
 
@@ -116,18 +107,6 @@
                 clock.advanceTo(Math.min(to, clock.now() + STEP / 10), ModuleExperiment.this::checkTimeLimit);
             }
         }
-
-        @Override
-        public void sendAttempt(SimulatedNode from, SimulatedNode.Attempt a) {
-            clock.schedule(-service * Math.log(1 - random.nextDouble()), () -> from.onAttemptEnded(a, CallOutcome.OK));
-        }
-
-        @Override
-        public void addToCounter(SimulatedNode from, long name, double amount) {
-            double total = totals.merge(name, amount, Double::sum);
-            int life = from.processNumber();
-            clock.schedule(1, () -> from.onCounterReply(life, name, CallOutcome.OK, 1, total));
-        }
     }
 
     @Override
@@ -162,7 +141,7 @@
         load.node.onEndpoints(servers.completeList(), true);
         load.next();
         load.run(2 * STEP, pointSeconds / 4.0);
-        load.node.cpuMeter(load.meter);
+        load.node.measureCpu(load.meter);
         long before = load.requests;
         double since = load.clock.now();
         long calls = load.node.counterCalls;
@@ -222,19 +201,15 @@
         load.node.onEndpoints(new EndpointInventory(size, zones).completeList(), true);
         for (int i = 0; i < many; i++) { // all of them within the time that idle ones are kept
             load.clock.advanceTo(load.clock.now() + 10_000.0 / many, this::checkTimeLimit);
-            load.node.onRequest(new IncomingRequest(
+            load.node.onRequest(ScaleSettings.request(
                     i,
                     ScaleSettings.READ,
-                    ScaleSettings.PLAN,
                     load.asking.name(i),
-                    ScaleSettings.DEADLINE_MS,
-                    1,
                     Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
-                    0,
-                    false));
+                    0));
         }
         load.clock.advanceTo(load.clock.now() + 2 * ScaleSettings.DEADLINE_MS, this::checkTimeLimit);
-        load.totals.clear(); // the counter's, not the node's
+        load.peers.forgetTotals();
         long with = used();
         load.node.kill();
         results.add("module.memory_bytes", "customers", many, (double) (with - used()), "bytes");
--- a/src/main/java/quotagateway/scale/SimulatedNode.java
+++ b/src/main/java/quotagateway/scale/SimulatedNode.java
@@ -15,52 +15,55 @@
 import quotagateway.policy.api.PolicyEvents;
 import quotagateway.policy.api.PolicySettings;
 
-/** An edge node without sockets: the true decision module on a virtual clock, among stand-ins. */
+/**
+ * A gateway node without sockets: the real policy on a virtual clock, among simulated peers. It carries the policy's
+ * actions out, ends requests and attempts as a real node does, and counts what becomes of them.
+ */
 final class SimulatedNode implements PolicyActions {
     private static final double[] NO_LOAD = new double[0];
 
-    /** What a node meets; both call back on the clock, never at once. */
+    /** The peers of a node; both methods call back on the clock, never at once. */
     interface Peers {
-        /** Begins an attempt at a server. */
+        /** Takes an attempt; {@link SimulatedNode#onAttemptEnded} tells its outcome. */
         void sendAttempt(SimulatedNode node, Attempt attempt);
 
-        /** Adds to a name of the counter. */
+        /** Adds to a total of the shared counter; {@link SimulatedNode#onCounterReply} tells the new one. */
         void addToCounter(SimulatedNode node, long name, double amount);
     }
 
-    /** A request that came to a node. */
+    /** A request that arrived and has not ended. */
     static final class PendingRequest {
         final long id;
-        final String requestClass;
         final double arrivedAt;
-        final double deadline;
         final List<Attempt> attempts = new ArrayList<>(1);
         boolean completed;
         int inFlight;
 
-        PendingRequest(IncomingRequest told, double now) {
-            id = told.id();
-            requestClass = told.requestClass();
-            arrivedAt = now;
-            deadline = now + told.clientTimeout();
+        PendingRequest(long id, double arrivedAt) {
+            this.id = id;
+            this.arrivedAt = arrivedAt;
         }
     }
 
-    /** One try at a server. */
+    /** One attempt of a request at an endpoint. */
     static final class Attempt {
         final PendingRequest request;
         final int number;
+        /** Number of the endpoint in the inventory. */
         final int endpoint;
+
         final double sentAt;
+        /** The process that sent it. */
         final int processNumber;
+
         boolean ended;
 
-        Attempt(PendingRequest request, int number, int server, double sent, int life) {
+        Attempt(PendingRequest request, int number, int endpoint, double sentAt, int processNumber) {
             this.request = request;
             this.number = number;
-            this.endpoint = server;
-            this.sentAt = sent;
-            this.processNumber = life;
+            this.endpoint = endpoint;
+            this.sentAt = sentAt;
+            this.processNumber = processNumber;
         }
     }
 
@@ -73,15 +76,19 @@
     private final BitSet retainedEndpoints = new BitSet();
     private PolicyEvents policy;
     private CpuMeter cpuMeter;
-    /** Events of a process that was killed are dropped by this. */
+    /** Counts starts and kills; events of an earlier process are dropped. */
     private int processNumber;
 
-    long attemptsSent;
     long counterCalls;
     long served;
     long rejected;
     long failed;
 
+    /**
+     * A node that has not started.
+     *
+     * @param latency where the time from arrival to response of each served request is recorded (us)
+     */
     SimulatedNode(PolicySettings settings, VirtualClock clock, Peers peers, Histogram latency) {
         index = settings.nodeIndex();
         this.settings = settings;
@@ -90,23 +97,25 @@
         this.latency = latency;
     }
 
-    /** Starts, or starts again with nothing known. */
+    /** Starts a process that knows nothing of an earlier one. */
     void start(long seed) {
-        processNumber++;
-        pendingRequests.clear();
-        retainedEndpoints.clear();
+        beginProcess();
         policy = new Policy(settings, seed, clock.now(), this);
     }
 
-    /** The process ends without a word. */
+    /** Ends the process at once; what it had in hand is lost. */
     void kill() {
-        processNumber++;
+        beginProcess();
         policy = null;
+    }
+
+    private void beginProcess() {
+        processNumber++;
         pendingRequests.clear();
         retainedEndpoints.clear();
     }
 
-    /** The servers, by number, that it keeps connections to. */
+    /** The endpoints, by number, that it keeps connections to. */
     BitSet retainedEndpoints() {
         return retainedEndpoints;
     }
@@ -115,76 +124,79 @@
         return policy != null;
     }
 
-    /** Counts the CPU of the module's events from here on. */
-    void cpuMeter(CpuMeter with) {
-        cpuMeter = with;
+    /** Measures the CPU time of the policy's events from here on. */
+    void measureCpu(CpuMeter meter) {
+        cpuMeter = meter;
+    }
+
+    /** Tells the present process from earlier ones. */
+    int processNumber() {
+        return processNumber;
     }
 
     // ---- events ----
 
-    void onEndpoints(List<EndpointDescriptor> list, boolean whole) {
-        notifyPolicy(m -> m.onEndpoints(clock.now(), list, whole));
+    /** An endpoint list or changes of it, as {@link PolicyEvents#onEndpoints} takes them. */
+    void onEndpoints(List<EndpointDescriptor> endpoints, boolean complete) {
+        notifyPolicy(target -> target.onEndpoints(clock.now(), endpoints, complete));
     }
 
-    void onRequest(IncomingRequest told) {
-        PendingRequest o = new PendingRequest(told, clock.now());
-        pendingRequests.put(o.id, o);
-        later(told.clientTimeout(), () -> onClientTimeout(o));
-        notifyPolicy(m -> m.onRequest(clock.now(), told));
+    /** A request of a client. */
+    void onRequest(IncomingRequest incoming) {
+        PendingRequest request = new PendingRequest(incoming.id(), clock.now());
+        pendingRequests.put(request.id, request);
+        later(incoming.clientTimeout(), () -> onClientTimeout(request));
+        notifyPolicy(target -> target.onRequest(clock.now(), incoming));
     }
 
-    /** The client waits no longer: what is out has timed out, and the module has the last word. */
-    private void onClientTimeout(PendingRequest o) {
-        for (Attempt a : o.attempts) {
-            onAttemptEnded(a, CallOutcome.TIMEOUT);
+    /** Ends the attempts in flight as timed out; the policy has the answer grace for its decision. */
+    private void onClientTimeout(PendingRequest request) {
+        for (Attempt attempt : request.attempts) {
+            onAttemptEnded(attempt, CallOutcome.TIMEOUT);
         }
-        if (!o.completed) {
-            later(settings.rules().answerGrace(), () -> complete(o, () -> failed++));
+        if (!request.completed) {
+            later(settings.rules().answerGrace(), () -> complete(request, () -> failed++));
         }
     }
 
-    /** An attempt's outcome; the first good one is the client's. */
-    void onAttemptEnded(Attempt a, CallOutcome outcome) {
-        if (a.ended || a.processNumber != processNumber) {
+    /** The outcome of an attempt; the first {@link CallOutcome#OK} serves its request. */
+    void onAttemptEnded(Attempt attempt, CallOutcome outcome) {
+        if (attempt.ended || attempt.processNumber != processNumber) {
             return;
         }
-        a.ended = true;
-        PendingRequest o = a.request;
-        o.inFlight--;
+        attempt.ended = true;
+        PendingRequest request = attempt.request;
+        request.inFlight--;
         if (outcome == CallOutcome.OK) {
-            complete(o, () -> {
+            complete(request, () -> {
                 served++;
-                latency.recordValue(Math.max(1, Math.round(1000 * (clock.now() - o.arrivedAt))));
+                latency.recordValue(Math.max(1, Math.round(1000 * (clock.now() - request.arrivedAt))));
             });
         }
-        boolean over = o.completed;
-        notifyPolicy(
-                m -> m.onAttemptEnded(clock.now(), o.id, a.number, outcome, clock.now() - a.sentAt, over, 0, NO_LOAD));
-        forgetIfEnded(o);
+        boolean completed = request.completed;
+        notifyPolicy(target -> target.onAttemptEnded(
+                clock.now(), request.id, attempt.number, outcome, clock.now() - attempt.sentAt, completed, 0, NO_LOAD));
+        forgetIfEnded(request);
     }
 
-    void onCounterReply(int asked, long name, CallOutcome outcome, double took, double total) {
-        if (asked == processNumber) {
-            notifyPolicy(m -> m.onCounterReply(clock.now(), name, outcome, took, total));
+    /** The end of a call to the counter; nothing where the process that made it has ended. */
+    void onCounterReply(int calledBy, long name, CallOutcome outcome, double tookMs, double total) {
+        if (calledBy == processNumber) {
+            notifyPolicy(target -> target.onCounterReply(clock.now(), name, outcome, tookMs, total));
         }
     }
 
-    int processNumber() {
-        return processNumber;
-    }
-
-    private void complete(PendingRequest o, Runnable count) {
-        if (!o.completed) {
-            o.completed = true;
+    private void complete(PendingRequest request, Runnable count) {
+        if (!request.completed) {
+            request.completed = true;
             count.run();
-            forgetIfEnded(o);
+            forgetIfEnded(request);
         }
     }
 
-    /** Forgets a request once it is over and nothing is out for it. */
-    private void forgetIfEnded(PendingRequest o) {
-        if (o.completed && o.inFlight == 0) {
-            pendingRequests.remove(o.id);
+    private void forgetIfEnded(PendingRequest request) {
+        if (request.completed && request.inFlight == 0) {
+            pendingRequests.remove(request.id);
         }
     }
 
@@ -201,83 +213,85 @@
         }
     }
 
-    /** On the clock, unless this process has ended by then. */
-    private void later(double delay, Runnable what) {
-        int then = processNumber;
-        clock.schedule(delay, () -> {
-            if (then == processNumber) {
-                what.run();
+    /** Schedules an action that is dropped where the present process has ended by then. */
+    private void later(double delayMs, Runnable action) {
+        int scheduledBy = processNumber;
+        clock.schedule(delayMs, () -> {
+            if (scheduledBy == processNumber) {
+                action.run();
             }
         });
     }
 
-    // ---- actions ----
+    // ---- actions of the policy ----
 
     @Override
-    public void sendAttempt(long id, String server, double until) {
-        PendingRequest o = pendingRequests.get(id);
-        if (o == null) {
+    public void sendAttempt(long requestId, String endpoint, double until) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request == null) {
             return;
         }
-        Attempt a = new Attempt(o, o.attempts.size(), EndpointInventory.numberOf(server), clock.now(), processNumber);
-        o.attempts.add(a);
-        o.inFlight++;
-        if (o.completed) {
-            later(0, () -> onAttemptEnded(a, CallOutcome.NOT_SENT));
+        Attempt attempt = new Attempt(
+                request, request.attempts.size(), EndpointInventory.numberOf(endpoint), clock.now(), processNumber);
+        request.attempts.add(attempt);
+        request.inFlight++;
+        if (request.completed) {
+            later(0, () -> onAttemptEnded(attempt, CallOutcome.NOT_SENT));
             return;
         }
-        attemptsSent++;
-        peers.sendAttempt(this, a);
+        peers.sendAttempt(this, attempt);
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {
-        PendingRequest o = pendingRequests.get(id);
-        if (o != null) {
-            later(0, () -> onAttemptEnded(o.attempts.get(attempt), CallOutcome.CANCELLED));
+    public void cancelAttempt(long requestId, int attempt) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request != null) {
+            later(0, () -> onAttemptEnded(request.attempts.get(attempt), CallOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void reject(long id, double retryAfter) {
-        PendingRequest o = pendingRequests.get(id);
-        if (o != null) {
-            complete(o, () -> rejected++);
+    public void reject(long requestId, double retryAfterMs) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request != null) {
+            complete(request, () -> rejected++);
         }
     }
 
     @Override
-    public void fail(long id) {
-        PendingRequest o = pendingRequests.get(id);
-        if (o != null) {
-            complete(o, () -> failed++);
+    public void fail(long requestId) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request != null) {
+            complete(request, () -> failed++);
         }
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        later(delay, () -> notifyPolicy(m -> m.onTimer(clock.now(), token)));
+    public void scheduleTimer(double delayMs, long token) {
+        later(delayMs, () -> notifyPolicy(target -> target.onTimer(clock.now(), token)));
     }
 
+    /** Simulated endpoints report no load. */
     @Override
-    public void checkHealth(String server) {}
+    public void checkHealth(String endpoint) {}
 
     @Override
-    public void addToCounter(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepForMs) {
         counterCalls++;
         peers.addToCounter(this, name, amount);
     }
 
+    /** Lists come unasked in a simulated fleet. */
     @Override
     public void subscribeToEndpoints() {}
 
     @Override
-    public void retainEndpoint(EndpointDescriptor server) {
-        retainedEndpoints.set(EndpointInventory.numberOf(server.id()));
+    public void retainEndpoint(EndpointDescriptor endpoint) {
+        retainedEndpoints.set(EndpointInventory.numberOf(endpoint.id()));
     }
 
     @Override
-    public void releaseEndpoint(String server) {
-        retainedEndpoints.clear(EndpointInventory.numberOf(server));
+    public void releaseEndpoint(String endpoint) {
+        retainedEndpoints.clear(EndpointInventory.numberOf(endpoint));
     }
 }
