--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -2,13 +2,13 @@
 
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import quotagateway.policy.api.EndpointState;
 
@@ -22,11 +22,8 @@
     /** Memory of a node: more than so many would take over half of a usual machine. */
     private static final int NODES_MOST = 32;
 
-    @Option(
-            names = "--root",
-            defaultValue = ".",
-            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
-    Path root;
+    @Mixin
+    RepositoryOption repository;
 
     @Option(
             names = "--nodes",
@@ -63,7 +60,7 @@
         require(
                 listed > 1 && rate > 0 && changes > 0 && pause > 0,
                 "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
-        NodeLaunch.run(root);
+        NodeLaunch.run(repository.root());
         for (int size : sizes) {
             showProgress(size + " nodes");
             point(size);
@@ -82,7 +79,12 @@
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 nodes.add(RealNode.start(
-                        root, ScaleSettings.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
+                        repository.root(),
+                        ScaleSettings.keys(i, size, 1),
+                        "null",
+                        agent.port(),
+                        counter.port(),
+                        seed + i));
                 addresses.add(nodes.get(i).address);
                 checkTimeLimitNow();
             }
--- a/src/main/java/quotagateway/scale/EndpointStandIns.java
+++ b/src/main/java/quotagateway/scale/EndpointStandIns.java
@@ -18,8 +18,8 @@
  * answer tells how long they held the request, so that a client can tell what came on top.
  */
 final class EndpointStandIns implements AutoCloseable {
-    /** The first server is 127.16.0.0: away from the addresses that a machine uses itself. */
-    private static final int FIRST = 127 << 24 | 16 << 16;
+    /** From 127.16.0.0 on: away from the addresses that a machine uses itself. */
+    private static final LoopbackAddresses ADDRESSES = LoopbackAddresses.startingAt(16);
 
     private static final int MOST = 1 << 19;
 
@@ -52,16 +52,7 @@
 
     /** Where a server listens, as discovery tells it. */
     String dial(int server) {
-        int at = FIRST + server;
-        return (at >>> 24) + "." + (at >> 16 & 255) + "." + (at >> 8 & 255) + "." + (at & 255) + ":" + port();
-    }
-
-    private static int number(InetSocketAddress local) {
-        int at = 0;
-        for (byte part : local.getAddress().getAddress()) {
-            at = at << 8 | (part & 255);
-        }
-        return at - FIRST;
+        return ADDRESSES.hostAndPort(server, port());
     }
 
     int connections() {
@@ -73,8 +64,7 @@
     }
 
     static InetAddress address(int server) throws UnknownHostException {
-        int at = FIRST + server;
-        return InetAddress.getByAddress(new byte[] {(byte) (at >> 24), (byte) (at >> 16), (byte) (at >> 8), (byte) at});
+        return ADDRESSES.address(server);
     }
 
     @Override
@@ -87,7 +77,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            int at = number((InetSocketAddress) ctx.channel().localAddress());
+            int at = ADDRESSES.numberOf((InetSocketAddress) ctx.channel().localAddress());
             if (at < 0 || at >= got.length()) {
                 ctx.close(); // no server of this run has that address
                 return;
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -1,7 +1,6 @@
 package quotagateway.scale;
 
 import io.netty.channel.EventLoopGroup;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -9,6 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import quotagateway.policy.api.EndpointState;
 
@@ -24,11 +24,8 @@
     private static final int STEP = 100;
     private static final double MS = 1000;
 
-    @Option(
-            names = "--root",
-            defaultValue = ".",
-            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
-    Path root;
+    @Mixin
+    RepositoryOption repository;
 
     @Option(
             names = "--servers",
@@ -136,7 +133,7 @@
                 seconds > 0 && nodes > 0 && zones > 0 && service >= 0 && counterRate > 0 && counterDelay >= 0,
                 "--seconds, --nodes, --zones, --service-ms, --counter-per-s and --counter-ms have to be above 0");
         require(serverPort >= 0 && serverPort < 65_536, "--server-port has to be a port");
-        NodeLaunch.run(root); // told before the first point, not after it
+        NodeLaunch.run(repository.root()); // told before the first point, not after it
     }
 
     private void point(String x, int at, int listed, int rate, int asking, int changing) throws Exception {
@@ -150,7 +147,12 @@
                 DiscoveryStandIn agent = new DiscoveryStandIn(
                         peers, 0, all, place::dial, new DiscoveryStandIn.ListFormat(torn, indented), seed);
                 RealNode node = RealNode.start(
-                        root, ScaleSettings.keys(0, nodes, zones), "null", agent.port(), counter.port(), seed)) {
+                        repository.root(),
+                        ScaleSettings.keys(0, nodes, zones),
+                        "null",
+                        agent.port(),
+                        counter.port(),
+                        seed)) {
             LoadDriver load = new LoadDriver(
                     clients,
                     List.of(node.address),
--- a/src/main/java/quotagateway/scale/soak/ClientFleet.java
+++ b/src/main/java/quotagateway/scale/soak/ClientFleet.java
@@ -28,20 +28,20 @@
  */
 final class ClientFleet {
     /** A request is waited for so long (ms) past its time before it counts as unanswered. */
-    private static final double UNANSWERED = 800;
+    private static final double UNANSWERED_AFTER_MS = 800;
 
-    private static final int PIECES_MOST = 4;
-    private static final int PIECE_PAUSE = 150;
-    private static final int PIPELINED_MOST = 5;
-    private static final int ASK_LATE_MOST = 900;
+    private static final int MAX_PIECES = 4;
+    private static final int MAX_PIECE_PAUSE_MS = 150;
+    private static final int MAX_PIPELINED = 5;
+    private static final int MAX_ASK_LATE_MS = 900;
     /** Connections that come to a node while it is told to end, in so long (ms), and ask only later. */
     private static final int LATE_CONNECTIONS = 8;
 
-    private static final int LATE_CONNECTIONS_IN = 330;
+    private static final int LATE_CONNECTIONS_WITHIN_MS = 330;
     /** Customers of each set of nodes. */
-    private static final int CUSTOMERS = 8;
+    private static final int CUSTOMERS_PER_NODE_SET = 8;
 
-    private static final double NANOS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     /** What a client does with its next request. */
     private enum ClientBehaviour {
@@ -56,11 +56,11 @@
     private final RunClock clock;
     private final SoakSettings settings;
     private final List<NodeSlot> nodes;
-    private final List<ArrayDeque<ClientConnection>> idle = new ArrayList<>();
+    private final List<ArrayDeque<ClientConnection>> idleConnections = new ArrayList<>();
     private final List<ClientRequest> requests = new ArrayList<>();
     private final SplittableRandom random;
-    private final double pauseMs;
-    private long ids;
+    private final double meanPauseMs;
+    private long lastRequestNumber;
     private boolean stopped;
 
     /** Rate is of requests a second at each node. */
@@ -71,12 +71,12 @@
         this.settings = settings;
         this.nodes = nodes;
         random = new SplittableRandom(seed);
-        pauseMs = 1000 / rate;
-        nodes.forEach(node -> idle.add(new ArrayDeque<>()));
+        meanPauseMs = 1000 / rate;
+        nodes.forEach(node -> idleConnections.add(new ArrayDeque<>()));
     }
 
     void start() {
-        nodes.forEach(node -> group.execute(() -> next(node)));
+        nodes.forEach(node -> group.execute(() -> scheduleNextRequest(node)));
     }
 
     /** No more requests; those that are open are waited for. */
@@ -96,27 +96,27 @@
     }
 
     private void after(double milliseconds, Runnable what) {
-        group.schedule(what, Math.round(milliseconds * NANOS), TimeUnit.NANOSECONDS);
+        group.schedule(what, Math.round(milliseconds * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 
-    private void next(NodeSlot node) {
+    private void scheduleNextRequest(NodeSlot node) {
         if (stopped) {
             return;
         }
-        ask(node);
-        after(-pauseMs * Math.log(1 - random.nextDouble()), () -> next(node));
+        sendRequest(node);
+        after(-meanPauseMs * Math.log(1 - random.nextDouble()), () -> scheduleNextRequest(node));
     }
 
     /** The front brings clients in for a while after a node has been told to end. */
-    void nodeEnds(NodeSlot node) {
+    void onNodeTerminated(NodeSlot node) {
         group.execute(() -> {
             for (int i = 0; i < LATE_CONNECTIONS && !stopped; i++) {
-                after(random.nextInt(LATE_CONNECTIONS_IN), () -> connect(node, ClientBehaviour.ASK_LATE));
+                after(random.nextInt(LATE_CONNECTIONS_WITHIN_MS), () -> connect(node, ClientBehaviour.ASK_LATE));
             }
         });
     }
 
-    private ClientBehaviour habit() {
+    private ClientBehaviour drawBehaviour() {
         double chance = random.nextDouble();
         return chance < 0.7
                 ? ClientBehaviour.PLAIN
@@ -127,12 +127,13 @@
                                 : chance < 0.94 ? ClientBehaviour.LEAVE : ClientBehaviour.ASK_LATE;
     }
 
-    private void ask(NodeSlot node) {
-        ClientBehaviour habit = habit();
-        ClientConnection line =
-                habit == ClientBehaviour.ASK_LATE ? null : idle.get(node.number).pollLast();
+    private void sendRequest(NodeSlot node) {
+        ClientBehaviour habit = drawBehaviour();
+        ClientConnection line = habit == ClientBehaviour.ASK_LATE
+                ? null
+                : idleConnections.get(node.number).pollLast();
         if (line != null) {
-            line.use(habit);
+            line.send(habit);
         } else if (node.mayConnect()) {
             connect(node, habit);
         }
@@ -143,14 +144,14 @@
         StandInLoops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), line)
                 .addListener(f -> {
                     if (f.isSuccess() && habit == ClientBehaviour.ASK_LATE) {
-                        after(random.nextInt(ASK_LATE_MOST), () -> line.use(ClientBehaviour.PLAIN));
+                        after(random.nextInt(MAX_ASK_LATE_MS), () -> line.send(ClientBehaviour.PLAIN));
                     } else if (f.isSuccess()) {
-                        line.use(habit);
+                        line.send(habit);
                     } // refused: its node is down, and the client asks elsewhere
                 });
     }
 
-    private double patience(RequestClass type) {
+    private double drawClientTimeout(RequestClass type) {
         double chance = random.nextDouble();
         if (chance < 0.7) {
             return type.deadline();
@@ -158,14 +159,14 @@
         return Math.ceil(chance < 0.9 ? type.deadline() * (0.1 + 0.9 * random.nextDouble()) : 20 + random.nextInt(80));
     }
 
-    private ClientRequest request(NodeSlot node) {
+    private ClientRequest newRequest(NodeSlot node) {
         int type = random.nextInt(settings.classes().size());
         ClientRequest request = new ClientRequest(
-                String.format("%016x", ++ids),
+                String.format("%016x", ++lastRequestNumber),
                 node.number,
-                node.process(),
+                node.processNumber(),
                 settings.classes().get(type),
-                patience(settings.classes().get(type)));
+                drawClientTimeout(settings.classes().get(type)));
         requests.add(request);
         return request;
     }
@@ -173,17 +174,17 @@
     private String command(ClientRequest request) {
         int spread = 1 + random.nextInt(Math.min(settings.nodes(), ScaleSettings.GATEWAYS_PER_CUSTOMER));
         int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
-        boolean safe = request.type.idempotency() == Idempotency.IDEMPOTENT;
-        String list = "c=" + request.type.name() + ",t="
+        boolean safe = request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        String list = "c=" + request.requestClass.name() + ",t="
                 + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : ScaleSettings.PLAN) + ",d="
-                + (long) request.patience
-                + (request.type.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
+                + (long) request.clientTimeout
+                + (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
                 + ",units=1,spread="
                 + spread + ",first=" + first;
         int set = first * ScaleSettings.GATEWAYS_PER_CUSTOMER
                 + spread
                 - 1; // a customer has the same set of nodes at any time
-        String customer = String.format("%016x", set * CUSTOMERS + random.nextInt(CUSTOMERS));
+        String customer = String.format("%016x", set * CUSTOMERS_PER_NODE_SET + random.nextInt(CUSTOMERS_PER_NODE_SET));
         return safe
                 ? StandInLoops.command("CALL.GET", customer, request.id, list)
                 : StandInLoops.command("CALL.POST", customer, request.id, list, "body");
@@ -192,9 +193,9 @@
     /** One connection; its requests are answered in their order. */
     private final class ClientConnection extends SimpleChannelInboundHandler<RedisMessage> {
         private final NodeSlot node;
-        private final ArrayDeque<ClientRequest> open = new ArrayDeque<>();
+        private final ArrayDeque<ClientRequest> pendingRequests = new ArrayDeque<>();
         private Channel channel;
-        private boolean left;
+        private boolean closedByClient;
         private boolean reset;
 
         ClientConnection(NodeSlot node) {
@@ -206,21 +207,21 @@
             channel = ctx.channel();
         }
 
-        void use(ClientBehaviour habit) {
+        void send(ClientBehaviour habit) {
             if (!channel.isActive() || stopped) {
                 return; // it has ended meanwhile
             }
-            ClientRequest request = request(node);
-            open.add(request);
+            ClientRequest request = newRequest(node);
+            pendingRequests.add(request);
             String command = command(request);
             switch (habit) {
-                case SLOW -> writePieces(request, command, 1 + random.nextInt(PIECES_MOST));
+                case SLOW -> writePieces(request, command, 1 + random.nextInt(MAX_PIECES));
                 case PIPELINE -> {
                     StringBuilder text = new StringBuilder(command);
                     List<ClientRequest> all = new ArrayList<>(List.of(request));
-                    for (int more = 1 + random.nextInt(PIPELINED_MOST - 1); more > 0; more--) {
-                        ClientRequest next = request(node);
-                        open.add(next);
+                    for (int more = 1 + random.nextInt(MAX_PIPELINED - 1); more > 0; more--) {
+                        ClientRequest next = newRequest(node);
+                        pendingRequests.add(next);
                         all.add(next);
                         text.append(command(next));
                     }
@@ -228,7 +229,7 @@
                 }
                 case LEAVE -> {
                     write(command, List.of(request));
-                    after(request.patience * random.nextDouble(), () -> leave(request));
+                    after(request.clientTimeout * random.nextDouble(), () -> disconnect(request));
                 }
                 default -> write(command, List.of(request));
             }
@@ -237,14 +238,14 @@
         private void write(String text, List<ClientRequest> whole) {
             channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), text)).addListener(f -> {
                 if (f.isSuccess()) {
-                    whole.forEach(this::sent);
+                    whole.forEach(this::onSent);
                 }
             });
         }
 
-        private void sent(ClientRequest request) {
-            request.sent = clock.now();
-            after(request.patience + UNANSWERED, () -> waited(request));
+        private void onSent(ClientRequest request) {
+            request.sentAt = clock.now();
+            after(request.clientTimeout + UNANSWERED_AFTER_MS, () -> onWaitOver(request));
         }
 
         /** Some pieces of a command, each after a pause. */
@@ -255,7 +256,7 @@
             }
             int cut = 1 + random.nextInt(text.length() - 1);
             write(text.substring(0, cut), List.of());
-            after(random.nextInt(PIECE_PAUSE), () -> {
+            after(random.nextInt(MAX_PIECE_PAUSE_MS), () -> {
                 if (channel.isActive() && request.end == ClientRequest.End.OPEN) {
                     writePieces(request, text.substring(cut), pieces - 1);
                 }
@@ -263,73 +264,75 @@
         }
 
         /** The wait for the answers before one does not count. */
-        private void waited(ClientRequest request) {
+        private void onWaitOver(ClientRequest request) {
             if (request.end != ClientRequest.End.OPEN) {
                 return;
             }
-            double over = Math.max(request.deadline(), request.turn) + UNANSWERED;
-            if (open.peek() == request && clock.now() >= over - 1) {
+            double over = Math.max(request.deadline(), request.firstInLineAt) + UNANSWERED_AFTER_MS;
+            if (pendingRequests.peek() == request && clock.now() >= over - 1) {
                 end(request, ClientRequest.End.NO_ANSWER);
-                left = true;
+                closedByClient = true;
                 channel.close();
             } else {
-                after(UNANSWERED / 4, () -> waited(request));
+                after(UNANSWERED_AFTER_MS / 4, () -> onWaitOver(request));
             }
         }
 
-        private void leave(ClientRequest request) {
+        private void disconnect(ClientRequest request) {
             if (request.end == ClientRequest.End.OPEN) {
-                left = true;
+                closedByClient = true;
                 channel.close();
             }
         }
 
         private void end(ClientRequest request, ClientRequest.End how) {
             request.end = how;
-            request.ended = clock.now();
+            request.endedAt = clock.now();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
-            ClientRequest request = open.poll();
+            ClientRequest request = pendingRequests.poll();
             if (request == null) {
                 return; // told of its end while it rests
             }
             if (answer instanceof FullBulkStringRedisMessage value && !value.isNull()) {
-                request.told = value.content().toString(StandardCharsets.US_ASCII);
+                request.response = value.content().toString(StandardCharsets.US_ASCII);
                 end(
                         request,
-                        request.told.equals("made for " + request.id)
+                        request.response.equals("made for " + request.id)
                                 ? ClientRequest.End.SERVED
                                 : ClientRequest.End.WRONG_VALUE);
             } else if (answer instanceof ErrorRedisMessage error) {
-                request.told = error.content();
-                end(request, request.told.startsWith("BUSY") ? ClientRequest.End.REFUSED : ClientRequest.End.FAILED);
+                request.response = error.content();
+                end(
+                        request,
+                        request.response.startsWith("BUSY") ? ClientRequest.End.REFUSED : ClientRequest.End.FAILED);
             } else {
-                request.told = answer.toString();
+                request.response = answer.toString();
                 end(request, ClientRequest.End.FAILED);
             }
-            if (open.isEmpty()) {
-                idle.get(node.number).add(this);
+            if (pendingRequests.isEmpty()) {
+                idleConnections.get(node.number).add(this);
             } else {
-                open.peek().turn = request.ended;
+                pendingRequests.peek().firstInLineAt = request.endedAt;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.get(node.number).remove(this);
-            for (ClientRequest request : open) {
-                if (left) {
+            idleConnections.get(node.number).remove(this);
+            for (ClientRequest request : pendingRequests) {
+                if (closedByClient) {
                     end(request, ClientRequest.End.CLIENT_LEFT);
-                } else if (request.sent == Double.POSITIVE_INFINITY) {
+                } else if (request.sentAt == Double.POSITIVE_INFINITY) {
                     end(request, ClientRequest.End.NOT_SENT);
                 } else {
                     end(request, ClientRequest.End.CONNECTION_ENDED);
-                    request.told = reset ? "reset" : "end";
+                    request.response = reset ? "reset" : "end";
                 }
             }
-            open.clear();
+            pendingRequests.clear();
         }
 
         @Override
--- a/src/main/java/quotagateway/scale/soak/ClientRequest.java
+++ b/src/main/java/quotagateway/scale/soak/ClientRequest.java
@@ -28,25 +28,25 @@
     /** Which of the node's processes had been started last when it was sent. */
     final int process;
 
-    final RequestClass type;
-    final double patience;
+    final RequestClass requestClass;
+    final double clientTimeout;
     /** When its last byte was written. */
-    double sent = Double.POSITIVE_INFINITY;
+    double sentAt = Double.POSITIVE_INFINITY;
 
-    double ended = Double.POSITIVE_INFINITY;
+    double endedAt = Double.POSITIVE_INFINITY;
     /** When the answers before it on its connection were there; its time counts from its own sending. */
-    double turn;
+    double firstInLineAt;
 
     End end = End.OPEN;
     /** What it was told, where it was not served. */
-    String told = "";
+    String response = "";
 
     ClientRequest(String id, int node, int process, RequestClass type, double patience) {
         this.id = id;
         this.node = node;
         this.process = process;
-        this.type = type;
-        this.patience = patience;
+        this.requestClass = type;
+        this.clientTimeout = patience;
     }
 
     boolean isAnswered() {
@@ -55,13 +55,21 @@
 
     /** By then its client stops waiting. */
     double deadline() {
-        return sent + patience;
+        return sentAt + clientTimeout;
     }
 
     @Override
     public String toString() {
         return String.format(
                 "id %s %s (%s) to n%d sent %.0f waits %.0f, %s at %.0f %s",
-                id, type.name(), type.idempotency(), node, sent, patience, end, ended, told);
+                id,
+                requestClass.name(),
+                requestClass.idempotency(),
+                node,
+                sentAt,
+                clientTimeout,
+                end,
+                endedAt,
+                response);
     }
 }
--- a/src/main/java/quotagateway/scale/soak/EndpointChange.java
+++ b/src/main/java/quotagateway/scale/soak/EndpointChange.java
@@ -1,4 +1,4 @@
 package quotagateway.scale.soak;
 
 /** From when until when (ms of the run) discovery told that a server wants nothing new. */
-record EndpointChange(int server, double from, double until) {}
+record EndpointChange(int endpoint, double from, double until) {}
--- a/src/main/java/quotagateway/scale/soak/FaultInjector.java
+++ b/src/main/java/quotagateway/scale/soak/FaultInjector.java
@@ -15,10 +15,10 @@
 /** Carries a plan of faults out, each on a thread of its own, so that they overlap as they were drawn. */
 final class FaultInjector {
     /** A change of discovery's address disturbs it for so long (ms). */
-    private static final double MOVE = 4000;
+    private static final double ADDRESS_CHANGE_MS = 4000;
 
     /** What faults are done to. */
-    record Scene(
+    record Targets(
             RunClock clock,
             List<NodeSlot> nodes,
             FaultyEndpoints servers,
@@ -27,22 +27,22 @@
             List<FaultProxy> counter,
             NodeSlot.FaultListener listener) {}
 
-    private final Scene scene;
+    private final Targets targets;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work, "fault");
         thread.setDaemon(true);
         return thread;
     });
-    private final List<EndpointChange> news = new CopyOnWriteArrayList<>();
+    private final List<EndpointChange> endpointChanges = new CopyOnWriteArrayList<>();
     private final List<double[]> discoveryFaults = new CopyOnWriteArrayList<>();
     private final Set<Integer> draining = new HashSet<>();
 
-    FaultInjector(Scene scene) {
-        this.scene = scene;
+    FaultInjector(Targets scene) {
+        this.targets = scene;
     }
 
-    List<EndpointChange> news() {
-        return news;
+    List<EndpointChange> endpointChanges() {
+        return endpointChanges;
     }
 
     /** From when until when (ms of the run) discovery was not well. */
@@ -53,11 +53,11 @@
     /** Begins each fault at its time; returns when the last one has begun. */
     void play(List<FaultPlan.Fault> plan) throws InterruptedException {
         for (FaultPlan.Fault fault : plan) {
-            double wait = fault.at() - scene.clock.now();
+            double wait = fault.at() - targets.clock.now();
             if (wait > 0) {
                 TimeUnit.MICROSECONDS.sleep(Math.round(wait * 1000));
             }
-            threads.execute(() -> guarded(fault));
+            threads.execute(() -> injectGuarded(fault));
         }
     }
 
@@ -67,27 +67,27 @@
         return threads.awaitTermination(seconds, TimeUnit.SECONDS);
     }
 
-    private void guarded(FaultPlan.Fault fault) {
+    private void injectGuarded(FaultPlan.Fault fault) {
         try {
             inject(fault);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | RuntimeException e) {
-            scene.listener.fault("harness", fault + ": " + e);
+            targets.listener.fault("harness", fault + ": " + e);
         }
     }
 
     private void inject(FaultPlan.Fault fault) throws IOException, InterruptedException {
         int first = fault.targets().get(0);
         switch (fault.kind()) {
-            case RESTART -> scene.nodes.get(first).restart();
-            case KILL -> scene.nodes.get(first).kill();
-            case UPGRADE -> scene.nodes.get(first).upgrade();
+            case RESTART -> targets.nodes.get(first).restart();
+            case KILL -> targets.nodes.get(first).kill();
+            case UPGRADE -> targets.nodes.get(first).upgrade();
             case HANGUP -> {
-                discoveryFaults.add(new double[] {scene.clock.now(), scene.clock.now() + MOVE});
-                scene.nodes.get(first).hangup();
+                discoveryFaults.add(new double[] {targets.clock.now(), targets.clock.now() + ADDRESS_CHANGE_MS});
+                targets.nodes.get(first).hangup();
             }
-            case PAUSE -> scene.nodes.get(first).pause(Math.round(fault.duration()));
+            case PAUSE -> targets.nodes.get(first).pause(Math.round(fault.duration()));
             case ROLL -> roll(fault);
             case SERVERS_HANG -> servers(fault, FaultyEndpoints.Behaviour.HANG);
             case SERVERS_FAIL -> servers(fault, FaultyEndpoints.Behaviour.FAIL);
@@ -96,42 +96,42 @@
             case SERVERS_HALF -> servers(fault, FaultyEndpoints.Behaviour.HALF);
             case SERVERS_SLOW -> servers(fault, FaultyEndpoints.Behaviour.SLOW);
             case SERVERS_DOWN -> servers(fault, FaultyEndpoints.Behaviour.DOWN);
-            case SERVER_CONNECTIONS_RESET -> fault.targets().forEach(scene.servers::resetAll);
+            case SERVER_CONNECTIONS_RESET -> fault.targets().forEach(targets.servers::resetAll);
             case SERVERS_DRAIN -> drain(fault);
             case DISCOVERY_SILENT -> discovery(fault, FaultProxy.Mode.SILENT);
             case DISCOVERY_HOLD -> discovery(fault, FaultProxy.Mode.HOLD_ANSWERS);
             case DISCOVERY_RESET -> discovery(fault, FaultProxy.Mode.RESET_NEW);
-            case COUNTER_SILENT -> proxy(scene.counter.get(first), fault, FaultProxy.Mode.SILENT);
-            case COUNTER_HOLD -> proxy(scene.counter.get(first), fault, FaultProxy.Mode.HOLD_ANSWERS);
-            case COUNTER_RESET -> proxy(scene.counter.get(first), fault, FaultProxy.Mode.RESET_NEW);
+            case COUNTER_SILENT -> proxy(targets.counter.get(first), fault, FaultProxy.Mode.SILENT);
+            case COUNTER_HOLD -> proxy(targets.counter.get(first), fault, FaultProxy.Mode.HOLD_ANSWERS);
+            case COUNTER_RESET -> proxy(targets.counter.get(first), fault, FaultProxy.Mode.RESET_NEW);
         }
     }
 
-    private static void last(FaultPlan.Fault fault) throws InterruptedException {
+    private static void awaitDuration(FaultPlan.Fault fault) throws InterruptedException {
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 1000));
     }
 
     private void servers(FaultPlan.Fault fault, FaultyEndpoints.Behaviour behaviour) throws InterruptedException {
-        fault.targets().forEach(server -> scene.servers.behave(server, behaviour));
-        last(fault);
-        fault.targets().forEach(server -> scene.servers.behave(server, FaultyEndpoints.Behaviour.WELL));
+        fault.targets().forEach(server -> targets.servers.setBehaviour(server, behaviour));
+        awaitDuration(fault);
+        fault.targets().forEach(server -> targets.servers.setBehaviour(server, FaultyEndpoints.Behaviour.HEALTHY));
     }
 
     /** Some nodes are told to end at once, while every third server hangs. */
     private void roll(FaultPlan.Fault fault) throws InterruptedException {
-        int size = scene.servers.size();
+        int size = targets.servers.size();
         for (int server = 0; server < size; server += 3) {
-            scene.servers.behave(server, FaultyEndpoints.Behaviour.HANG);
+            targets.servers.setBehaviour(server, FaultyEndpoints.Behaviour.HANG);
         }
         List<Thread> restarts = new ArrayList<>();
         for (int node : fault.targets()) {
             restarts.add(new Thread(
-                    () -> guarded(new FaultPlan.Fault(FaultPlan.Kind.RESTART, fault.at(), 0, List.of(node)))));
+                    () -> injectGuarded(new FaultPlan.Fault(FaultPlan.Kind.RESTART, fault.at(), 0, List.of(node)))));
         }
         restarts.forEach(Thread::start);
-        last(fault);
+        awaitDuration(fault);
         for (int server = 0; server < size; server += 3) {
-            scene.servers.behave(server, FaultyEndpoints.Behaviour.WELL);
+            targets.servers.setBehaviour(server, FaultyEndpoints.Behaviour.HEALTHY);
         }
         for (Thread restart : restarts) {
             restart.join();
@@ -145,23 +145,23 @@
             mine.removeAll(draining);
             draining.addAll(mine);
         }
-        double from = scene.clock.now();
-        scene.agent.change(mine, EndpointState.DRAINING, 0);
+        double from = targets.clock.now();
+        targets.agent.change(mine, EndpointState.DRAINING, 0);
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 500));
-        scene.agent.change(mine, EndpointState.REMOVED, 0);
+        targets.agent.change(mine, EndpointState.REMOVED, 0);
         TimeUnit.MICROSECONDS.sleep(Math.round(fault.duration() * 500));
-        double until = scene.clock.now();
-        scene.agent.change(mine, EndpointState.UP, System.currentTimeMillis());
-        mine.forEach(server -> news.add(new EndpointChange(server, from, until)));
+        double until = targets.clock.now();
+        targets.agent.change(mine, EndpointState.UP, System.currentTimeMillis());
+        mine.forEach(server -> endpointChanges.add(new EndpointChange(server, from, until)));
         synchronized (draining) {
             draining.removeAll(mine);
         }
     }
 
     private void discovery(FaultPlan.Fault fault, FaultProxy.Mode mode) throws InterruptedException {
-        double from = scene.clock.now();
+        double from = targets.clock.now();
         discoveryFaults.add(new double[] {from, from + fault.duration()});
-        proxy(scene.discovery.get(fault.targets().get(0)), fault, mode);
+        proxy(targets.discovery.get(fault.targets().get(0)), fault, mode);
     }
 
     private static void proxy(FaultProxy proxy, FaultPlan.Fault fault, FaultProxy.Mode mode)
@@ -170,7 +170,7 @@
         if (mode == FaultProxy.Mode.RESET_NEW) {
             proxy.resetAll();
         }
-        last(fault);
+        awaitDuration(fault);
         proxy.mode(FaultProxy.Mode.PASS);
     }
 }
--- a/src/main/java/quotagateway/scale/soak/FaultPlan.java
+++ b/src/main/java/quotagateway/scale/soak/FaultPlan.java
@@ -42,11 +42,11 @@
     /** One fault: when (ms of the run), for how long, and on which numbers of nodes, servers or proxies. */
     record Fault(Kind kind, double at, double duration, List<Integer> targets) {}
 
-    private static final double SHORTEST = 300;
-    private static final double LONGEST = 6000;
-    private static final int PAUSE_MOST = 150;
-    private static final double SERVERS_AT_ONCE = 0.3;
-    private static final double ROLLED_AT_ONCE = 0.4;
+    private static final double MIN_DURATION_MS = 300;
+    private static final double MAX_DURATION_MS = 6000;
+    private static final int MAX_PAUSE_MS = 150;
+    private static final double MAX_ENDPOINT_SHARE = 0.3;
+    private static final double MAX_ROLLED_SHARE = 0.4;
 
     private FaultPlan() {}
 
@@ -58,8 +58,8 @@
             Kind kind = kind(random);
             double at = from + random.nextDouble() * (to - from);
             double duration = kind == Kind.PAUSE
-                    ? 20 + random.nextInt(PAUSE_MOST - 20)
-                    : Math.min(to - at, SHORTEST + random.nextDouble() * (LONGEST - SHORTEST));
+                    ? 20 + random.nextInt(MAX_PAUSE_MS - 20)
+                    : Math.min(to - at, MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS));
             plan.add(new Fault(kind, at, duration, targets(random, kind, nodes, servers, proxies)));
         }
         plan.sort(Comparator.comparingDouble(Fault::at));
@@ -84,10 +84,10 @@
     private static List<Integer> targets(SplittableRandom random, Kind kind, int nodes, int servers, int proxies) {
         return switch (kind) {
             case RESTART, KILL, UPGRADE, HANGUP, PAUSE -> List.of(random.nextInt(nodes));
-            case ROLL -> some(random, nodes, ROLLED_AT_ONCE);
+            case ROLL -> some(random, nodes, MAX_ROLLED_SHARE);
             case DISCOVERY_SILENT, DISCOVERY_HOLD, DISCOVERY_RESET, COUNTER_SILENT, COUNTER_HOLD, COUNTER_RESET ->
                 List.of(random.nextInt(proxies));
-            default -> some(random, servers, SERVERS_AT_ONCE);
+            default -> some(random, servers, MAX_ENDPOINT_SHARE);
         };
     }
 
--- a/src/main/java/quotagateway/scale/soak/FaultyEndpoints.java
+++ b/src/main/java/quotagateway/scale/soak/FaultyEndpoints.java
@@ -20,6 +20,7 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import quotagateway.scale.LoopbackAddresses;
 import quotagateway.scale.RespStandInHandler;
 import quotagateway.scale.StandInLoops;
 
@@ -31,7 +32,7 @@
     /** How a server behaves, from its next request or connection on. */
     enum Behaviour {
         /** Answers after its service time. */
-        WELL,
+        HEALTHY,
         /** Takes requests and never answers. */
         HANG,
         /** Answers that it failed. */
@@ -48,7 +49,9 @@
         DOWN
     }
 
-    private static final int FIRST = 127 << 24 | 17 << 16;
+    /** From 127.17.0.0 on: beside those of the other stand-ins. */
+    private static final LoopbackAddresses ADDRESSES = LoopbackAddresses.startingAt(17);
+
     private static final int SERVICE_MS = 10;
     private static final int SLOW_FACTOR = 20;
     private static final Pattern PATIENCE = Pattern.compile("(?:^|,)d=(\\d+)");
@@ -63,7 +66,7 @@
         this.clock = clock;
         behaviour = new AtomicReferenceArray<>(size);
         for (int i = 0; i < size; i++) {
-            behaviour.set(i, Behaviour.WELL);
+            behaviour.set(i, Behaviour.HEALTHY);
             connections.add(new DefaultChannelGroup(ImmediateEventExecutor.INSTANCE));
         }
         listener = StandInLoops.listen(group, new InetSocketAddress("0.0.0.0", 0), this::handlers);
@@ -76,25 +79,15 @@
     }
 
     /** Where a server listens, as discovery tells it. */
-    String dial(int server) {
-        int at = FIRST + server;
-        return (at >>> 24) + "." + (at >> 16 & 255) + "." + (at >> 8 & 255) + "." + (at & 255) + ":"
-                + StandInLoops.port(listener);
-    }
-
-    private static int number(InetSocketAddress local) {
-        int at = 0;
-        for (byte part : local.getAddress().getAddress()) {
-            at = at << 8 | (part & 255);
-        }
-        return at - FIRST;
+    String addressOf(int server) {
+        return ADDRESSES.hostAndPort(server, StandInLoops.port(listener));
     }
 
     int size() {
         return behaviour.length();
     }
 
-    void behave(int server, Behaviour next) {
+    void setBehaviour(int server, Behaviour next) {
         behaviour.set(server, next);
         if (next == Behaviour.DOWN) {
             resetAll(server);
@@ -107,7 +100,7 @@
     }
 
     /** The attempts of a request so far. */
-    List<Execution> of(String request) {
+    List<Execution> executionsOf(String request) {
         return executions.getOrDefault(request, List.of());
     }
 
@@ -123,12 +116,12 @@
     }
 
     private final class Connection extends RespStandInHandler {
-        private final Set<Execution> out = ConcurrentHashMap.newKeySet();
+        private final Set<Execution> inFlight = ConcurrentHashMap.newKeySet();
         private int server = -1;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            int at = number((InetSocketAddress) ctx.channel().localAddress());
+            int at = ADDRESSES.numberOf((InetSocketAddress) ctx.channel().localAddress());
             if (at < 0 || at >= behaviour.length() || behaviour.get(at) == Behaviour.DOWN) {
                 reset(ctx.channel());
                 return;
@@ -140,7 +133,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             double now = clock.now();
-            out.forEach(execution -> execution.ended = now);
+            inFlight.forEach(execution -> execution.endedAt = now);
         }
 
         @Override
@@ -158,15 +151,15 @@
             executions
                     .computeIfAbsent(execution.request, id -> Collections.synchronizedList(new ArrayList<>()))
                     .add(execution);
-            out.add(execution);
-            react(ctx, now, execution, text -> {
-                execution.ended = clock.now();
-                out.remove(execution);
+            inFlight.add(execution);
+            respond(ctx, now, execution, text -> {
+                execution.endedAt = clock.now();
+                inFlight.remove(execution);
                 answer.accept(text);
             });
         }
 
-        private void react(ChannelHandlerContext ctx, Behaviour now, Execution execution, Consumer<String> answer) {
+        private void respond(ChannelHandlerContext ctx, Behaviour now, Execution execution, Consumer<String> answer) {
             String value = "*3\r\n" + StandInLoops.bulk("made for " + execution.request) + "$-1\r\n$-1\r\n";
             switch (now) {
                 case FAIL -> answer.accept("-ERR failed\r\n");
--- a/src/main/java/quotagateway/scale/soak/LagMeter.java
+++ b/src/main/java/quotagateway/scale/soak/LagMeter.java
@@ -10,11 +10,11 @@
  * earlier. Without it a busy machine would be taken for a fault of the nodes.
  */
 final class LagMeter {
-    private static final double TICK = 10;
+    private static final double TICK_MS = 10;
     /** Less is within the oracle's slack (ms). */
-    private static final double NOTED = 20;
+    private static final double MIN_STALL_MS = 20;
     /** What a late loop had in line is worked off by then (ms). */
-    private static final double BEHIND = 100;
+    private static final double CATCH_UP_MS = 100;
 
     /** A loop did nothing between two times (ms of the run). */
     private record Stall(double from, double to) {}
@@ -28,24 +28,24 @@
 
     /** Measures a group of one loop until it is shut down. */
     void measure(EventLoopGroup group) {
-        double due = clock.now() + TICK;
+        double due = clock.now() + TICK_MS;
         group.schedule(
                 () -> {
                     double now = clock.now();
-                    if (now - due > NOTED) {
+                    if (now - due > MIN_STALL_MS) {
                         stalls.add(new Stall(due, now));
                     }
                     measure(group);
                 },
-                (long) TICK,
+                (long) TICK_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** How late (ms) something may have been noted at this time. */
-    double at(double time) {
+    double lagAt(double time) {
         double lag = 0;
         for (Stall stall : stalls) {
-            if (time > stall.from - TICK && time < stall.to + BEHIND) {
+            if (time > stall.from - TICK_MS && time < stall.to + CATCH_UP_MS) {
                 lag += stall.to - stall.from;
             }
         }
@@ -53,7 +53,7 @@
     }
 
     /** The longest stall (ms). */
-    double longest() {
+    double longestStall() {
         return stalls.stream().mapToDouble(s -> s.to - s.from).max().orElse(0);
     }
 }
--- a/src/main/java/quotagateway/scale/soak/NodeSlot.java
+++ b/src/main/java/quotagateway/scale/soak/NodeSlot.java
@@ -20,11 +20,11 @@
  */
 final class NodeSlot implements AutoCloseable {
     /** New connections go on coming for so long (ms) after SIGTERM. */
-    private static final double CONNECTS_ON = 350;
+    private static final double CONNECTS_AFTER_TERM_MS = 350;
 
-    private static final long READY_WITHIN = 30_000;
-    private static final long LOOK = 5;
-    private static final long DOWN_TIME = 200;
+    private static final long READY_WITHIN_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 5;
+    private static final long DOWN_TIME_MS = 200;
 
     /** What all nodes have in common. */
     record Platform(
@@ -48,22 +48,22 @@
     private final Path folder;
     private final Path log;
     private final SplittableRandom random;
-    private final ReentrantLock changing = new ReentrantLock();
-    private final List<ProcessLifetime> lives = new ArrayList<>();
+    private final ReentrantLock changeLock = new ReentrantLock();
+    private final List<ProcessLifetime> lifetimes = new ArrayList<>();
     private final List<NodeProcess> processes = new ArrayList<>();
     private volatile NodeProcess current;
-    private volatile ProcessLifetime life;
+    private volatile ProcessLifetime lifetime;
     /** Until then (ms of the run) clients make new connections. */
     private volatile double connectsUntil = Double.NEGATIVE_INFINITY;
 
     private volatile Runnable whenTerminated = () -> {};
-    private int links;
+    private int proxyIndex;
 
     NodeSlot(int number, Platform platform, long seed) throws IOException {
         this.number = number;
         this.platform = platform;
         random = new SplittableRandom(seed);
-        links = number % platform.discovery.size();
+        proxyIndex = number % platform.discovery.size();
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), NodeProcess.freePort());
         folder = Files.createDirectories(platform.folder.resolve("n" + number));
         log = folder.resolve("log");
@@ -83,19 +83,19 @@
     }
 
     /** The number of the process that was started last. */
-    int process() {
-        return life == null ? 0 : life.number;
+    int processNumber() {
+        return lifetime == null ? 0 : lifetime.number;
     }
 
-    synchronized List<ProcessLifetime> lives() {
-        return List.copyOf(lives);
+    synchronized List<ProcessLifetime> lifetimes() {
+        return List.copyOf(lifetimes);
     }
 
     private NodeLaunch.Addresses addresses() {
         return new NodeLaunch.Addresses(
                 "127.0.0.1:" + address.getPort(),
-                platform.discovery.get(links).dial(),
-                platform.counter.get(links).dial());
+                platform.discovery.get(proxyIndex).dial(),
+                platform.counter.get(proxyIndex).dial());
     }
 
     private Path configure() throws IOException {
@@ -122,27 +122,27 @@
         Map<String, String> environment =
                 new HashMap<>(NodeLaunch.environment("n" + number, addresses(), configure(), temporary));
         environment.put("EDGE_LOG", "all");
-        ProcessLifetime next = new ProcessLifetime(number, lives.size(), platform.clock.now());
+        ProcessLifetime next = new ProcessLifetime(number, lifetimes.size(), platform.clock.now());
         NodeProcess process =
                 NodeProcess.start(NodeLaunch.command(platform.root), platform.root, environment, log, address);
         synchronized (this) {
-            lives.add(next);
+            lifetimes.add(next);
             processes.add(process);
         }
-        life = next;
+        lifetime = next;
         current = process;
     }
 
     /** Starts the first process, and waits until it is ready. */
     void start() throws IOException, InterruptedException {
         launch(true);
-        ready();
+        awaitReady();
     }
 
-    private void ready() throws InterruptedException {
-        ProcessLifetime of = life;
-        if (current.awaitReady(READY_WITHIN)) {
-            of.ready = platform.clock.now();
+    private void awaitReady() throws InterruptedException {
+        ProcessLifetime of = lifetime;
+        if (current.awaitReady(READY_WITHIN_MS)) {
+            of.readyAt = platform.clock.now();
             connectsUntil = Double.POSITIVE_INFINITY;
         } else {
             platform.faults.fault("start", "not ready: " + of);
@@ -150,17 +150,17 @@
     }
 
     /** A change of the node's process. */
-    private interface Change {
+    private interface ProcessChange {
         void make() throws IOException, InterruptedException;
     }
 
     /** Makes a change unless another one goes on. */
-    private void exclusively(Change change) throws IOException, InterruptedException {
-        if (changing.tryLock()) {
+    private void exclusively(ProcessChange change) throws IOException, InterruptedException {
+        if (changeLock.tryLock()) {
             try {
                 change.make();
             } finally {
-                changing.unlock();
+                changeLock.unlock();
             }
         }
     }
@@ -168,24 +168,24 @@
     /** SIGTERM, SIGKILL at the earliest time that the protocol allows, and a start. */
     void restart() throws IOException, InterruptedException {
         exclusively(() -> {
-            terminate(current, life, true);
-            Thread.sleep(DOWN_TIME);
+            terminate(current, lifetime, true);
+            Thread.sleep(DOWN_TIME_MS);
             launch(true);
-            ready();
+            awaitReady();
         });
     }
 
     /** SIGKILL with no word, and a start. */
     void kill() throws IOException, InterruptedException {
         exclusively(() -> {
-            life.killed = platform.clock.now();
-            connectsUntil = life.killed;
+            lifetime.killedAt = platform.clock.now();
+            connectsUntil = lifetime.killedAt;
             current.signal(NodeProcess.Signal.KILL);
-            current.awaitEnd(READY_WITHIN);
-            life.ended = platform.clock.now();
-            Thread.sleep(DOWN_TIME);
+            current.awaitEnd(READY_WITHIN_MS);
+            lifetime.endedAt = platform.clock.now();
+            Thread.sleep(DOWN_TIME_MS);
             launch(true);
-            ready();
+            awaitReady();
         });
     }
 
@@ -193,43 +193,43 @@
     void upgrade() throws IOException, InterruptedException {
         exclusively(() -> {
             NodeProcess before = current;
-            ProcessLifetime lifeBefore = life;
-            int binds = binds();
+            ProcessLifetime lifeBefore = lifetime;
+            int binds = bindCount();
             launch(false);
-            double end = platform.clock.now() + READY_WITHIN;
-            while (binds() == binds && platform.clock.now() < end && current.isAlive()) {
-                Thread.sleep(LOOK);
+            double end = platform.clock.now() + READY_WITHIN_MS;
+            while (bindCount() == binds && platform.clock.now() < end && current.isAlive()) {
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            if (binds() == binds) {
-                platform.faults.fault("start", "beside another, not ready: " + life);
+            if (bindCount() == binds) {
+                platform.faults.fault("start", "beside another, not ready: " + lifetime);
             }
-            life.ready = platform.clock.now();
+            lifetime.readyAt = platform.clock.now();
             terminate(before, lifeBefore, false);
         });
     }
 
-    private int binds() throws IOException {
+    private int bindCount() throws IOException {
         return log().split(" bind ", -1).length;
     }
 
     private void terminate(NodeProcess process, ProcessLifetime of, boolean last) throws InterruptedException {
         checkAlive(process, of);
-        of.terminated = platform.clock.now();
+        of.terminatedAt = platform.clock.now();
         if (last) {
-            connectsUntil = of.terminated + CONNECTS_ON;
+            connectsUntil = of.terminatedAt + CONNECTS_AFTER_TERM_MS;
         }
         process.signal(NodeProcess.Signal.TERM);
         whenTerminated.run();
-        double kill = of.terminated + platform.settings.earliestKill();
+        double kill = of.terminatedAt + platform.settings.earliestKillMs();
         while (process.isAlive() && platform.clock.now() < kill) {
-            Thread.sleep(LOOK);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         if (process.isAlive()) {
-            of.killed = platform.clock.now();
+            of.killedAt = platform.clock.now();
             process.signal(NodeProcess.Signal.KILL);
-            process.awaitEnd(READY_WITHIN);
+            process.awaitEnd(READY_WITHIN_MS);
         }
-        of.ended = platform.clock.now();
+        of.endedAt = platform.clock.now();
     }
 
     private void checkAlive(NodeProcess process, ProcessLifetime of) {
@@ -241,7 +241,7 @@
     /** The configuration names other addresses of discovery and the counter, and the node is told. */
     void hangup() throws IOException, InterruptedException {
         exclusively(() -> {
-            links = (links + 1) % platform.discovery.size();
+            proxyIndex = (proxyIndex + 1) % platform.discovery.size();
             configure();
             current.signal(NodeProcess.Signal.HUP);
         });
@@ -257,11 +257,11 @@
 
     /** The end of the run: a planned end like any other, with no start behind it. */
     void finish() throws InterruptedException {
-        changing.lock();
+        changeLock.lock();
         try {
-            terminate(current, life, true);
+            terminate(current, lifetime, true);
         } finally {
-            changing.unlock();
+            changeLock.unlock();
         }
     }
 
--- a/src/main/java/quotagateway/scale/soak/ProcessLifetime.java
+++ b/src/main/java/quotagateway/scale/soak/ProcessLifetime.java
@@ -4,29 +4,29 @@
 final class ProcessLifetime {
     final int node;
     final int number;
-    final double started;
-    double ready = Double.POSITIVE_INFINITY;
-    double terminated = Double.POSITIVE_INFINITY;
+    final double startedAt;
+    double readyAt = Double.POSITIVE_INFINITY;
+    double terminatedAt = Double.POSITIVE_INFINITY;
     /** When it was killed, while it ran. */
-    double killed = Double.POSITIVE_INFINITY;
+    double killedAt = Double.POSITIVE_INFINITY;
 
-    double ended = Double.POSITIVE_INFINITY;
+    double endedAt = Double.POSITIVE_INFINITY;
 
     ProcessLifetime(int node, int number, double started) {
         this.node = node;
         this.number = number;
-        this.started = started;
+        this.startedAt = started;
     }
 
     /** Killed with no word before. */
     boolean isKilledOutright() {
-        return killed < Double.POSITIVE_INFINITY && terminated == Double.POSITIVE_INFINITY;
+        return killedAt < Double.POSITIVE_INFINITY && terminatedAt == Double.POSITIVE_INFINITY;
     }
 
     @Override
     public String toString() {
         return String.format(
                 "n%d process %d: started %.0f ready %.0f SIGTERM %.0f SIGKILL %.0f ended %.0f",
-                node, number, started, ready, terminated, killed, ended);
+                node, number, startedAt, readyAt, terminatedAt, killedAt, endedAt);
     }
 }
--- a/src/main/java/quotagateway/scale/soak/SoakCommand.java
+++ b/src/main/java/quotagateway/scale/soak/SoakCommand.java
@@ -5,8 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import quotagateway.scale.NodeLaunch;
+import quotagateway.scale.RepositoryOption;
 import quotagateway.scale.RunNotPossibleException;
 
 /** The fault soak on the command line: a run for each seed, and exit code 1 where a rule was broken. */
@@ -19,11 +21,8 @@
     private static final int NODES_MOST = 40;
     private static final int SHOWN = 8;
 
-    @Option(
-            names = "--root",
-            defaultValue = ".",
-            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
-    private Path root;
+    @Mixin
+    private RepositoryOption repository;
 
     @Option(names = "--seed", defaultValue = "1", description = "of the first run (default ${DEFAULT-VALUE})")
     private long seed;
@@ -85,8 +84,9 @@
                 ? Files.createTempDirectory("quota-gateway-soak")
                 : Files.createDirectories(keep.resolve("seed-" + next));
         try {
-            SoakRun.Report report =
-                    new SoakRun(root, folder, new SoakRun.Size(size, servers, seconds, rate, faults)).run(next);
+            SoakRun.Report report = new SoakRun(
+                            repository.root(), folder, new SoakRun.Size(size, servers, seconds, rate, faults))
+                    .run(next);
             System.out.println(report);
             report.violations().stream().limit(SHOWN).forEach(v -> System.out.println("  " + v));
             return report.violations().isEmpty();
--- a/src/main/java/quotagateway/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -52,18 +52,18 @@
     private static final int PROXIES = 2;
     private static final double COUNTER_PER_SECOND = 20_000;
     /** Processes that are started at the same time at first. */
-    private static final int STARTED_TOGETHER = 8;
+    private static final int CONCURRENT_STARTS = 8;
     /** Before the first fault, and behind the last one's end (ms). */
-    private static final double QUIET = 1000;
+    private static final double QUIET_MS = 1000;
 
-    private static final int LAST_FAULT_SECONDS = 60;
-    private static final int LAST_ANSWER_MS = 8000;
+    private static final int FAULTS_END_WITHIN_SECONDS = 60;
+    private static final int RESPONSES_END_WITHIN_MS = 8000;
     /** A restarted process is ready within this (ms), nine times in ten. */
-    private static final double READY_SOON = 10_000;
+    private static final double READY_SOON_MS = 10_000;
 
     private static final int LOG_LINES = 20;
     /** What a node writes of exceptions of its own; those at place servers' answers are the servers'. */
-    private static final Pattern FAULT = Pattern.compile("(event|module|client connection): .*");
+    private static final Pattern INTERNAL_EXCEPTION = Pattern.compile("(event|module|client connection): .*");
 
     private final Path root;
     private final Path folder;
@@ -71,7 +71,7 @@
     private final RunClock clock = new RunClock();
     private final LagMeter lag = new LagMeter(clock);
     private final ConcurrentLinkedQueue<Violation> faults = new ConcurrentLinkedQueue<>();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeAtEnd = new ArrayList<>();
     private final List<NodeSlot> nodes = new ArrayList<>();
 
     /** Root is the repository's folder, built; logs and configurations go to the other one. */
@@ -90,7 +90,7 @@
             return run(seed, standIns, load);
         } finally {
             nodes.forEach(NodeSlot::close);
-            for (AutoCloseable each : open) {
+            for (AutoCloseable each : closeAtEnd) {
                 each.close();
             }
             standIns.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await();
@@ -102,15 +102,15 @@
         SplittableRandom random = new SplittableRandom(seed);
         SoakSettings settings = new SoakSettings(size.nodes, random);
         EndpointInventory names = new EndpointInventory(size.servers, SoakSettings.zones());
-        FaultyEndpoints servers = opened(new FaultyEndpoints(standIns, clock, size.servers));
-        DiscoveryStandIn agent = opened(new DiscoveryStandIn(
+        FaultyEndpoints servers = closedAtEnd(new FaultyEndpoints(standIns, clock, size.servers));
+        DiscoveryStandIn agent = closedAtEnd(new DiscoveryStandIn(
                 standIns,
                 0,
                 names,
-                servers::dial,
+                servers::addressOf,
                 new DiscoveryStandIn.ListFormat(random.nextBoolean(), random.nextBoolean()),
                 random.nextLong()));
-        CounterStandIn counter = opened(new CounterStandIn(standIns, 0, COUNTER_PER_SECOND, 1));
+        CounterStandIn counter = closedAtEnd(new CounterStandIn(standIns, 0, COUNTER_PER_SECOND, 1));
         List<FaultProxy> discoveryProxies = proxies(agent.port());
         List<FaultProxy> counterProxies = proxies(counter.port());
         NodeSlot.Platform platform = new NodeSlot.Platform(
@@ -125,39 +125,39 @@
         for (int i = 0; i < size.nodes; i++) {
             nodes.add(new NodeSlot(i, platform, random.nextLong()));
         }
-        together(STARTED_TOGETHER, NodeSlot::start);
+        forEachNode(CONCURRENT_STARTS, NodeSlot::start);
         ClientFleet clients = new ClientFleet(load, clock, settings, nodes, size.rate, random.nextLong());
-        nodes.forEach(node -> node.whenTerminated(() -> clients.nodeEnds(node)));
+        nodes.forEach(node -> node.whenTerminated(() -> clients.onNodeTerminated(node)));
         clients.start();
-        double from = clock.now() + QUIET;
+        double from = clock.now() + QUIET_MS;
         double to = from + size.seconds * 1000.0;
         List<FaultPlan.Fault> plan = FaultPlan.draw(
                 random, (int) (size.seconds * size.faultsPerSecond), from, to, size.nodes, size.servers, PROXIES);
         FaultInjector injector = new FaultInjector(
-                new FaultInjector.Scene(clock, nodes, servers, agent, discoveryProxies, counterProxies, this::fault));
+                new FaultInjector.Targets(clock, nodes, servers, agent, discoveryProxies, counterProxies, this::fault));
         injector.play(plan);
-        if (!injector.awaitEnd(LAST_FAULT_SECONDS)) {
+        if (!injector.awaitEnd(FAULTS_END_WITHIN_SECONDS)) {
             fault("harness", "a fault has not ended");
         }
-        Thread.sleep((long) QUIET);
+        Thread.sleep((long) QUIET_MS);
         clients.stop();
-        double end = clock.now() + LAST_ANSWER_MS;
+        double end = clock.now() + RESPONSES_END_WITHIN_MS;
         while (clients.isWaiting() && clock.now() < end) {
-            Thread.sleep((long) QUIET / 10);
+            Thread.sleep((long) QUIET_MS / 10);
         }
-        together(size.nodes, NodeSlot::finish);
+        forEachNode(size.nodes, NodeSlot::finish);
         return report(seed, settings, plan.size(), names, servers, injector, clients.requests());
     }
 
-    private <T extends AutoCloseable> T opened(T one) {
-        open.add(0, one);
+    private <T extends AutoCloseable> T closedAtEnd(T one) {
+        closeAtEnd.add(0, one);
         return one;
     }
 
     private List<FaultProxy> proxies(int port) throws IOException {
         List<FaultProxy> proxies = new ArrayList<>();
         for (int i = 0; i < PROXIES; i++) {
-            proxies.add(opened(new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
+            proxies.add(closedAtEnd(new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
         }
         return proxies;
     }
@@ -167,11 +167,11 @@
     }
 
     /** Something to do with a node. */
-    private interface Work {
+    private interface NodeTask {
         void with(NodeSlot node) throws Exception;
     }
 
-    private void together(int threads, Work work) throws InterruptedException, ExecutionException {
+    private void forEachNode(int threads, NodeTask work) throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Callable<Void>> all = new ArrayList<>();
@@ -199,15 +199,21 @@
             List<ClientRequest> requests)
             throws IOException {
         Map<Integer, List<ProcessLifetime>> lives = new HashMap<>();
-        nodes.forEach(node -> lives.put(node.number, node.lives()));
+        nodes.forEach(node -> lives.put(node.number, node.lifetimes()));
         List<Violation> violations = new ArrayList<>(faults);
         for (Violation found : Oracle.check(
-                new Oracle.Seen(requests, servers::of, lives, injector.news(), injector.discoveryFaults(), lag::at),
+                new Oracle.Observations(
+                        requests,
+                        servers::executionsOf,
+                        lives,
+                        injector.endpointChanges(),
+                        injector.discoveryFaults(),
+                        lag::lagAt),
                 names,
                 ScaleSettings.DRAIN_GRACE_MS)) {
             violations.add(withLog(found, requests));
         }
-        violations.addAll(processes(lives));
+        violations.addAll(checkProcesses(lives));
         Map<ClientRequest.End, Integer> ends = new EnumMap<>(ClientRequest.End.class);
         requests.forEach(r -> ends.merge(r.end, 1, Integer::sum));
         return new Report(
@@ -217,7 +223,7 @@
                 faultCount,
                 lives.values().stream().mapToInt(List::size).sum(),
                 ends,
-                lag.longest(),
+                lag.longestStall(),
                 violations);
     }
 
@@ -239,12 +245,13 @@
     }
 
     /** Starts, and what the nodes' own checks found. */
-    private List<Violation> processes(Map<Integer, List<ProcessLifetime>> lives) throws IOException {
+    private List<Violation> checkProcesses(Map<Integer, List<ProcessLifetime>> lives) throws IOException {
         List<Violation> violations = new ArrayList<>();
         List<ProcessLifetime> all =
                 lives.values().stream().flatMap(List::stream).toList();
-        List<ProcessLifetime> late =
-                all.stream().filter(l -> l.ready - l.started > READY_SOON).toList();
+        List<ProcessLifetime> late = all.stream()
+                .filter(l -> l.readyAt - l.startedAt > READY_SOON_MS)
+                .toList();
         if (late.size() * 10 > all.size()) {
             violations.add(new Violation("start", late.size() + " of " + all.size() + " are ready late"));
         }
@@ -256,7 +263,7 @@
                     .forEach(line -> violations.add(new Violation("invariant", "n" + node.number + " " + line)));
             node.log()
                     .lines()
-                    .filter(line -> FAULT.matcher(line).matches())
+                    .filter(line -> INTERNAL_EXCEPTION.matcher(line).matches())
                     .limit(LOG_LINES)
                     .forEach(
                             line -> violations.add(new Violation("fault in the node", "n" + node.number + " " + line)));
--- a/src/main/java/quotagateway/scale/soak/SoakSettings.java
+++ b/src/main/java/quotagateway/scale/soak/SoakSettings.java
@@ -17,24 +17,25 @@
     static final String SMALL_PLAN = "small";
 
     private static final int ZONES = 3;
-    private static final int SHORTEST = 500;
-    private static final int LONGEST = 4000;
-    private static final double AIM = 0.5;
+    private static final int MIN_DEADLINE_MS = 500;
+    private static final int MAX_DEADLINE_MS = 4000;
+    private static final double OBJECTIVE_SHARE = 0.5;
 
     private final int nodes;
-    private final String group;
+    private final String retryScope;
     private final int[] deadlines = new int[3];
-    private final int window;
+    private final int idempotencyWindow;
     private final List<RequestClass> classes;
 
     SoakSettings(int nodes, SplittableRandom random) {
         this.nodes = nodes;
-        group = List.of("all", "zone", "cell").get(random.nextInt(3));
+        retryScope = List.of("all", "zone", "cell").get(random.nextInt(3));
         boolean brief = random.nextInt(2) == 0;
         for (int i = 0; i < deadlines.length; i++) {
-            deadlines[i] = SHORTEST + random.nextInt((brief ? LONGEST / 3 : LONGEST) - SHORTEST);
+            deadlines[i] =
+                    MIN_DEADLINE_MS + random.nextInt((brief ? MAX_DEADLINE_MS / 3 : MAX_DEADLINE_MS) - MIN_DEADLINE_MS);
         }
-        window = SHORTEST / 2 + random.nextInt(2 * LONGEST);
+        idempotencyWindow = MIN_DEADLINE_MS / 2 + random.nextInt(2 * MAX_DEADLINE_MS);
         classes = SettingsReader.read(keys(0)).requestClasses();
     }
 
@@ -52,9 +53,9 @@
         for (int i = 0; i < deadlines.length; i++) {
             String at = "request_classes." + i + ".";
             keys.put(at + "hard_limit", Integer.toString(deadlines[i]));
-            keys.put(at + "aim", Long.toString(Math.round(deadlines[i] * AIM)));
-            keys.put(at + "group", group);
-            keys.put(at + "repeat_window", Integer.toString(window));
+            keys.put(at + "aim", Long.toString(Math.round(deadlines[i] * OBJECTIVE_SHARE)));
+            keys.put(at + "group", retryScope);
+            keys.put(at + "repeat_window", Integer.toString(idempotencyWindow));
         }
         keys.put("tariffs.1.name", SMALL_PLAN);
         keys.put("tariffs.1.per_second", "5");
@@ -71,7 +72,7 @@
     }
 
     /** After SIGTERM, how soon SIGKILL may come: the longest deadline, 3 s at most, and 0.75 s. */
-    double earliestKill() {
+    double earliestKillMs() {
         double longest = 0;
         for (int deadline : deadlines) {
             longest = Math.max(longest, deadline);
@@ -86,6 +87,6 @@
         for (int deadline : deadlines) {
             told.add(Integer.toString(deadline));
         }
-        return "deadlines " + String.join("/", told) + ", window " + window + ", group " + group;
+        return "deadlines " + String.join("/", told) + ", window " + idempotencyWindow + ", group " + retryScope;
     }
 }
--- a/src/test/java/quotagateway/scale/ImportRuleTest.java
+++ b/src/test/java/quotagateway/scale/ImportRuleTest.java
@@ -18,7 +18,7 @@
     private static final Pattern SCALE = Pattern.compile("quotagateway/scale|picocli|HdrHistogram");
 
     @Test
-    void noClassOfTheNodeNamesTheScaleRun() throws IOException {
+    void nodeClassesDoNotReferToTheScaleTool() throws IOException {
         Path classes = Path.of("target", "classes", "quotagateway");
         List<String> naming = new ArrayList<>();
         List<Path> all;
@@ -39,7 +39,7 @@
 
     /** Provided libraries are neither in the manifest's class path nor among those copied for it. */
     @Test
-    void theNodesJarHasNeitherThePackageNorItsLibraries() throws IOException {
+    void nodeJarHasNeitherTheScaleToolNorItsLibraries() throws IOException {
         String pom = Files.readString(Path.of("pom.xml")).replaceAll("\\s+", "");
         for (String library : List.of("picocli", "HdrHistogram")) {
             assertTrue(
--- a/src/test/java/quotagateway/scale/LinearFitTest.java
+++ b/src/test/java/quotagateway/scale/LinearFitTest.java
@@ -12,7 +12,7 @@
     }
 
     @Test
-    void aLineIsFoundWithNoResidual() {
+    void pointsOnALineHaveNoResidual() {
         LinearFit fit = LinearFit.of(points(5, 7, 9, 11));
         assertEquals(2, fit.slope(), 1e-9);
         assertEquals(3, fit.intercept(), 1e-9);
@@ -20,20 +20,20 @@
     }
 
     @Test
-    void theResidualIsTheRootMeanSquare() {
+    void residualIsRootMeanSquareError() {
         LinearFit fit = LinearFit.of(points(1, -1, -1, 1));
         assertEquals(0, fit.slope(), 1e-9);
         assertEquals(1, fit.residual(), 1e-9);
     }
 
     @Test
-    void fewerThanFourPointsOrOnePlaceMakeNoSlope() {
+    void tooFewPointsOrOneXGiveNoFit() {
         assertNull(LinearFit.of(points(1, 2, 3, 4).subList(0, 3)));
         assertNull(LinearFit.of(java.util.Collections.nCopies(4, new double[] {1, 1})));
     }
 
     @Test
-    void aRowHoldsItsPointsAndItsFit() throws Exception {
+    void jsonRowHasPointsAndFit() throws Exception {
         Results results = new Results("module --seed 1", "abc");
         points(5, 7, 9, 11).forEach(p -> results.add("m", "x", p[0], p[1], "us"));
         assertEquals(
--- a/src/test/java/quotagateway/scale/ScaleCliTest.java
+++ b/src/test/java/quotagateway/scale/ScaleCliTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void whatIsNotPossibleIsOneLineAndExitCode2() throws Exception {
+    void invalidArgumentsPrintOneLineAndExitWith2() throws Exception {
         assertRefused("subcommand");
         assertRefused("fleets", "fleets");
         assertRefused("--rate", "module", "--rate", "many");
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void aNodeThatEndsAtOnceIsToldWithItsWord() throws Exception {
+    void nodeThatEndsAtOnceIsReportedWithItsOutput() throws Exception {
         Files.createDirectory(folder.resolve("deploy"));
         Files.writeString(folder.resolve("deploy/balancer.toml"), "run = \"echo \\\"no room\\\"; exit 3\"\n");
         assertRefused("no room", "node", "--root", folder.toString());
     }
 
     @Test
-    void rowsAreWrittenInBothFormsAndKeptWhereAsked() throws Exception {
+    void rowsAreWrittenAsCsvAndJsonAndAppendedOnRequest() throws Exception {
         Path json = folder.resolve("a.json");
         Path csv = folder.resolve("a.csv");
         for (Path file : List.of(json, csv)) {
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void timeOverIsToldWithExitCode1() {
+    void reachedTimeLimitExitsWith1() {
         List<String> told = run(
                 "module",
                 "--servers",
--- a/src/test/java/quotagateway/scale/SimulatedFleetTest.java
+++ b/src/test/java/quotagateway/scale/SimulatedFleetTest.java
@@ -39,13 +39,13 @@
     }
 
     @Test
-    void oneSeedGivesOneRun() {
+    void sameSeedGivesSameRun() {
         assertEquals(figures(fleet(5, 7)), figures(fleet(5, 7)));
         assertNotEquals(figures(fleet(5, 7)), figures(fleet(5, 8)));
     }
 
     @Test
-    void eachRequestEndsOnce() {
+    void everyRequestEndsOnce() {
         SimulatedFleet f = fleet(4, 1);
         f.latency.reset();
         f.run(ScaleSettings.DEADLINE_MS + 100);
@@ -57,7 +57,7 @@
 
     /** What is silent or refuses gets no work done, and what drains gets none once all have heard. */
     @Test
-    void troublesReachTheNodes() {
+    void drainingAndSilentEndpointsGetNoWork() {
         SimulatedFleet f = fleet(3, 1);
         f.announceChange(List.of(f.inventory.descriptor(0, EndpointState.DRAINING, 0)));
         f.run(shape.noticeDelayMs[1] + 1);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aColdServerIsSlowAtFirst() {
+    void restartedEndpointIsSlowAtFirst() {
         VirtualClock clock = new VirtualClock(0);
         SimulatedEndpoint host = new SimulatedEndpoint(new SimulatedEndpoint.Capacity(1, 0, 10), clock);
         double[] done = new double[2];
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theCountersLineMakesLateCallsTimeOut() {
+    void fullCounterQueueMakesCallsTimeOut() {
         SimulatedFleet f = new SimulatedFleet(shape, 1, 1, () -> {});
         f.nodes[0].start(1);
         int most = (int) (ScaleSettings.COUNTER_TIMEOUT_MS * shape.counterCallsPerSecond / 1000);
--- a/src/test/java/quotagateway/scale/StandInTest.java
+++ b/src/test/java/quotagateway/scale/StandInTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theAgentTellsTheWholeListAndThenItsChanges() throws Exception {
+    void discoverySendsCompleteListThenChanges() throws Exception {
         String whole = "{\"seq\":1,\"whole\":true,\"hosts\":[" + entry(0, "active") + ',' + entry(1, "active") + "]}";
         String left = "{\"seq\":2,\"whole\":false,\"hosts\":[" + entry(1, "left") + "]}";
         try (DiscoveryStandIn agent = agent(false, false);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void tornAndIndentedItIsTheSameList() throws Exception {
+    void listInPartsAndIndentedHasTheSameContent() throws Exception {
         try (DiscoveryStandIn agent = agent(true, true);
                 Line line = to(agent.port())) {
             line.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void whatChangesWhileItIsSilentIsNotPushed() throws Exception {
+    void changesDuringSilenceAreNotPushed() throws Exception {
         try (DiscoveryStandIn agent = agent(false, false);
                 Line watch = to(agent.port())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void theCounterAddsAndRefusesWhatIsNoCall() throws Exception {
+    void counterAddsAndRejectsInvalidCalls() throws Exception {
         try (CounterStandIn counter = new CounterStandIn(group, 0, 1000, 0);
                 Line line = to(counter.port())) {
             line.write(StandInLoops.command("CNT.ADD", "7", "2.5", "4000")
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void placeServersShareAListenerAndAreToldApartByAddress() throws Exception {
+    void endpointsShareAListenerAndDifferByAddress() throws Exception {
         String list = "c=read,t=p,d=200,units=1,spread=1,first=0";
         try (EndpointStandIns place = new EndpointStandIns(group, 300, 0, 0)) {
             assertEquals("127.16.1.4:" + place.port(), place.dial(260));
--- a/src/test/java/quotagateway/scale/soak/FaultPlanTest.java
+++ b/src/test/java/quotagateway/scale/soak/FaultPlanTest.java
@@ -15,13 +15,13 @@
     }
 
     @Test
-    void aSeedNamesOnePlan() {
+    void sameSeedDrawsSamePlan() {
         assertEquals(plan(1), plan(1));
         assertNotEquals(plan(1), plan(2));
     }
 
     @Test
-    void faultsStandInTheirOrderAndInTheirTime() {
+    void faultsAreInOrderAndWithinTheRun() {
         double last = 1000;
         for (FaultPlan.Fault fault : plan(3)) {
             assertTrue(fault.at() >= last && fault.at() < 31_000);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theyOverlapAndOfEachKindThereIsOne() {
+    void longPlanHasEveryKindAndOverlaps() {
         List<FaultPlan.Fault> all = FaultPlan.draw(new SplittableRandom(4), 1000, 0, 300_000, 20, 30, 2);
         for (FaultPlan.Kind kind : FaultPlan.Kind.values()) {
             assertTrue(all.stream().anyMatch(f -> f.kind() == kind), kind.toString());
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void aSettingIsDrawnWithWhatAKillGoesBy() {
+    void drawnSettingsGiveTheEarliestKill() {
         for (int seed = 0; seed < 50; seed++) {
             SoakSettings settings = new SoakSettings(12, new SplittableRandom(seed));
             double longest = settings.classes().stream()
                     .mapToDouble(c -> c.deadline())
                     .max()
                     .orElseThrow();
-            assertEquals(Math.min(longest, 3000) + 750, settings.earliestKill());
+            assertEquals(Math.min(longest, 3000) + 750, settings.earliestKillMs());
             assertEquals(settings.toString(), new SoakSettings(12, new SplittableRandom(seed)).toString());
         }
     }
--- a/src/test/java/quotagateway/scale/soak/FaultProxyTest.java
+++ b/src/test/java/quotagateway/scale/soak/FaultProxyTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void answersAreHeldAndComeWhenTheModeEnds() throws IOException {
+    void heldResponsesArriveWhenTheModeEnds() throws IOException {
         proxy.mode(FaultProxy.Mode.HOLD_ANSWERS);
         near.getOutputStream().write('q');
         assertEquals('q', far.getInputStream().read());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void inSilenceNothingPasses() throws IOException {
+    void silentProxyPassesNothing() throws IOException {
         proxy.mode(FaultProxy.Mode.SILENT);
         near.getOutputStream().write('q');
         nothingComes(far);
--- a/src/test/java/quotagateway/scale/soak/OracleTest.java
+++ b/src/test/java/quotagateway/scale/soak/OracleTest.java
@@ -25,29 +25,29 @@
     private static ClientRequest request(Idempotency effect, ClientRequest.End end, double ended) {
         ClientRequest request = new ClientRequest(
                 "01", 0, 0, new RequestClass("c", effect, RetryScope.CELL, 500, 1000, 1, 0, WINDOW, false), 1000);
-        request.sent = 10_000;
+        request.sentAt = 10_000;
         request.end = end;
-        request.ended = ended;
+        request.endedAt = ended;
         return request;
     }
 
     private void attempt(int server, double began, double ended, boolean ran) {
         Execution attempt = new Execution("01", server, began, 500, ran);
-        attempt.ended = ended;
+        attempt.endedAt = ended;
         attempts.add(attempt);
     }
 
     private ProcessLifetime life(double terminated, double killed) {
         ProcessLifetime life = new ProcessLifetime(0, 0, 0);
-        life.terminated = terminated;
-        life.killed = killed;
+        life.terminatedAt = terminated;
+        life.killedAt = killed;
         lives.add(life);
         return life;
     }
 
     private List<String> rules(ClientRequest request) {
         return Oracle.check(
-                        new Oracle.Seen(
+                        new Oracle.Observations(
                                 List.of(request), id -> attempts, Map.of(0, lives), news, discoveryFaults, at -> lag),
                         new EndpointInventory(30, 3),
                         GRACE)
@@ -61,13 +61,13 @@
     }
 
     @Test
-    void whatIsServedInTimeBreaksNothing() {
+    void requestServedInTimeBreaksNoRule() {
         attempt(1, 10_010, 10_050, true);
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_060));
     }
 
     @Test
-    void wrongMissingAndLateAnswersAreLost() {
+    void wrongMissingAndLateResponsesAreReported() {
         assertEquals(List.of("lost, wrong value"), rules(ClientRequest.End.WRONG_VALUE, 10_100));
         assertEquals(List.of("lost, no answer"), rules(ClientRequest.End.NO_ANSWER, 12_000));
         assertEquals(List.of(), rules(ClientRequest.End.FAILED, 11_640));
@@ -75,21 +75,21 @@
     }
 
     @Test
-    void whatTheRunItselfMayHaveNotedLateIsNoFault() {
+    void lagOfTheRunItselfIsExcused() {
         lag = 300;
         assertEquals(List.of(), rules(ClientRequest.End.FAILED, 11_940));
         assertEquals(List.of("lost, late answer"), rules(ClientRequest.End.FAILED, 11_960));
     }
 
     @Test
-    void theWaitForAnswersBeforeOneDoesNotCount() {
+    void waitForEarlierResponsesOfTheConnectionIsExcused() {
         ClientRequest request = request(Idempotency.IDEMPOTENT, ClientRequest.End.FAILED, 15_600);
-        request.turn = 15_000;
+        request.firstInLineAt = 15_000;
         assertEquals(List.of(), rules(request));
     }
 
     @Test
-    void aConnectionThatTheNodeEndsOverAForwardedRequestIsALoss() {
+    void connectionClosedOverForwardedRequestIsReported() {
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_300), "it crossed");
         assertEquals(List.of("lost, read and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_500));
         attempt(1, 10_010, 10_300, true);
@@ -97,25 +97,25 @@
     }
 
     @Test
-    void aKillWithNoWordExcusesAndAnEarlierOneDoesNot() {
+    void killExcusesOnlyConnectionsThatEndWithIt() {
         attempt(1, 10_010, 10_800, true);
         ProcessLifetime life = life(Double.POSITIVE_INFINITY, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
-        life.killed = 9000;
+        life.killedAt = 9000;
         assertEquals(List.of("lost, forwarded and closed"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
     }
 
     @Test
-    void theKillOfAShutdownExcusesWhatCameSoonAfterTheSignal() {
+    void killDuringShutdownExcusesRequestsSentSoonAfterSigterm() {
         attempt(1, 10_010, 10_800, true);
         ProcessLifetime life = life(9_400, 10_800);
         assertEquals(List.of(), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
-        life.terminated = 9_200;
+        life.terminatedAt = 9_200;
         assertEquals(List.of("lost at the kill of a shutdown"), rules(ClientRequest.End.CONNECTION_ENDED, 10_810));
     }
 
     @Test
-    void copiesAndDuplicatesAreSeen() {
+    void concurrentAndDuplicateAttemptsAreReported() {
         attempt(1, 10_010, 10_500, true);
         attempt(2, 10_300, 10_600, true);
         assertEquals(List.of("copy, two attempts out"), rules(ClientRequest.End.SERVED, 10_610));
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void aKeyedRepeatBehindTheWindowIsADuplicate() {
+    void keyedRetryAfterTheWindowIsReported() {
         attempt(1, 10_010, 10_100, true);
         attempt(1, 12_200, 12_300, true);
         ClientRequest request = request(Idempotency.IDEMPOTENCY_KEY, ClientRequest.End.SERVED, 10_710);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void whatBeginsAfterItsClientHasLeftOrIsToldTooMuchIsSeen() {
+    void attemptAfterDisconnectOrWithTooLongTimeoutIsReported() {
         attempt(1, 10_400, 10_450, true);
         assertEquals(List.of(), rules(ClientRequest.End.CLIENT_LEFT, 10_200));
         assertEquals(List.of("lost, sent after the client had gone"), rules(ClientRequest.End.CLIENT_LEFT, 10_100));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aDrainingServerGetsNothingNew() {
+    void attemptAtDrainingEndpointIsReported() {
         attempt(1, 10_010, 10_100, true);
         news.add(new EndpointChange(1, 9_400, 20_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "within the grace and a hold-up");
