--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -2,13 +2,13 @@
 
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import quotagateway.policy.api.EndpointState;
 
@@ -22,11 +22,8 @@
     /** Memory of a node: more than so many would take over half of a usual machine. */
     private static final int NODES_MOST = 32;
 
-    @Option(
-            names = "--root",
-            defaultValue = ".",
-            description = "the repository's folder, built " + "(default ${DEFAULT-VALUE})")
-    Path root;
+    @Mixin
+    RepositoryOption repository;
 
     @Option(
             names = "--nodes",
@@ -58,14 +55,14 @@
 
     @Override
     void measure() throws Exception {
-        atLeast(sizes, 1, "--nodes");
+        requireAtLeast(sizes, 1, "--nodes");
         require(sizes.stream().allMatch(s -> s <= NODES_MOST), "--nodes has to be " + NODES_MOST + " or less");
         require(
                 listed > 1 && rate > 0 && changes > 0 && pause > 0,
                 "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
-        NodeLaunch.run(root);
+        NodeLaunch.run(repository.root());
         for (int size : sizes) {
-            progress(size + " nodes");
+            showProgress(size + " nodes");
             point(size);
         }
     }
@@ -82,9 +79,14 @@
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 nodes.add(RealNode.start(
-                        root, ScaleSettings.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
+                        repository.root(),
+                        ScaleSettings.keys(i, size, 1),
+                        "null",
+                        agent.port(),
+                        counter.port(),
+                        seed + i));
                 addresses.add(nodes.get(i).address);
-                inTimeNow();
+                checkTimeLimitNow();
             }
             LoadDriver load = new LoadDriver(
                     clients, addresses, size, new CustomerPopulation(1000, CustomerPopulation.SKEW), rate * size, seed);
@@ -92,7 +94,7 @@
             Thread.sleep(SETTLED);
             Histogram times = new Histogram(3);
             for (int i = 0; i < changes; i++) {
-                inTimeNow();
+                checkTimeLimitNow();
                 times.recordValue(change(place, agent, i % listed));
             }
             load.stop();
--- a/src/main/java/quotagateway/scale/IndependentNodes.java
+++ b/src/main/java/quotagateway/scale/IndependentNodes.java
@@ -1,9 +1,8 @@
 package quotagateway.scale;
 
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.BitSet;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -13,62 +12,65 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.HdrHistogram.Histogram;
-import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointDescriptor;
-import quotagateway.policy.api.IncomingRequest;
 import quotagateway.policy.api.PolicySettings;
 
 /**
- * A fleet too large for one memory, one hollow node after another: each sees the whole list and load of its
- * own, and servers that answer without a queue. What lies on a server is summed over all; nodes don't meet.
+ * A fleet too large for one memory, simulated a node at a time: each node has the complete endpoint list, a load of its
+ * own and {@link UnloadedPeers}. Connections and requests at each endpoint are summed over all nodes; beyond that nodes
+ * have no effect on each other.
  */
 final class IndependentNodes {
-    /** Rates are learnt, and a node has its set, by then (virtual ms). */
-    private static final double SETTLED = 3000;
+    /** By then a node has learnt the rates and chosen its subset of the endpoints (virtual ms). */
+    private static final double SETTLE_MS = 3000;
 
-    private static final double STEP = 100;
+    private static final double STEP_MS = 100;
 
-    private final FleetOptions shape;
+    private final FleetOptions options;
     private final int size;
     private final long seed;
     private final int seconds;
-    private final EndpointInventory servers;
-    private final List<EndpointDescriptor> whole;
-    private final PolicySettings first;
-    final AtomicLongArray connections;
-    final AtomicLongArray load;
-    final long[] kept;
-    private final AtomicInteger done = new AtomicInteger();
-
-    IndependentNodes(FleetOptions shape, int size, long seed, int seconds) {
-        this.shape = shape;
+    private final EndpointInventory inventory;
+    private final List<EndpointDescriptor> completeList;
+    private final PolicySettings sharedSettings;
+    private final AtomicLongArray connectionsPerEndpoint;
+    private final AtomicLongArray requestsPerEndpoint;
+    final long[] connectionsPerNode;
+    private final AtomicInteger nodesDone = new AtomicInteger();
+
+    IndependentNodes(FleetOptions options, int size, long seed, int seconds) {
+        this.options = options;
         this.size = size;
         this.seed = seed;
         this.seconds = seconds;
-        servers = new EndpointInventory(shape.servers(size), shape.zones);
-        whole = servers.whole();
-        first = ScaleSettings.settings(null, 0, size, shape.zones);
-        connections = new AtomicLongArray(servers.size());
-        load = new AtomicLongArray(servers.size());
-        kept = new long[size];
+        inventory = new EndpointInventory(options.endpointCount(size), options.zones);
+        completeList = inventory.completeList();
+        sharedSettings = ScaleSettings.settings(null, 0, size, options.zones);
+        connectionsPerEndpoint = new AtomicLongArray(inventory.size());
+        requestsPerEndpoint = new AtomicLongArray(inventory.size());
+        connectionsPerNode = new long[size];
     }
 
-    /** Runs all nodes on so many threads; between is called meanwhile, and ends the run by throwing. */
-    void run(int threads, Runnable between) throws Exception {
+    /**
+     * Runs all nodes.
+     *
+     * @param whileWaiting run about every second; ends the run by throwing
+     */
+    void run(int threads, Runnable whileWaiting) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<?>> all = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                int rank = i;
-                all.add(pool.submit(() -> one(rank)));
+                int index = i;
+                all.add(pool.submit(() -> simulateNode(index)));
             }
             for (Future<?> each : all) {
                 while (!each.isDone()) {
-                    between.run();
+                    whileWaiting.run();
                     try {
                         each.get(1, TimeUnit.SECONDS);
                     } catch (TimeoutException e) {
-                        // asked again
+                        // the time limit is checked again
                     }
                 }
                 each.get();
@@ -78,16 +80,19 @@
         }
     }
 
+    /** How far the run is, in words. */
     String progress() {
-        return done.get() + " of " + size + " nodes, " + servers.size() + " servers";
+        return nodesDone.get() + " of " + size + " nodes, " + inventory.size() + " servers";
     }
 
-    long[] connections() {
-        return values(connections);
+    /** How many nodes keep connections to each endpoint. */
+    long[] connectionsPerEndpoint() {
+        return values(connectionsPerEndpoint);
     }
 
-    long[] load() {
-        return values(load);
+    /** Attempts that each endpoint got in the measured time. */
+    long[] requestsPerEndpoint() {
+        return values(requestsPerEndpoint);
     }
 
     private static long[] values(AtomicLongArray of) {
@@ -98,62 +103,66 @@
         return values;
     }
 
-    private void one(int rank) {
-        VirtualClock clock = new VirtualClock(SimulatedFleet.START);
-        SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + rank);
-        Map<Long, Double> totals = new HashMap<>();
-        boolean[] measured = new boolean[1];
-        SimulatedNode.Peers peers = new SimulatedNode.Peers() {
-            @Override
-            public void attempt(SimulatedNode node, SimulatedNode.Attempt a) {
-                if (measured[0]) {
-                    load.incrementAndGet(a.server);
-                }
-                clock.after(-shape.service * Math.log(1 - random.nextDouble()), () -> node.ended(a, CallOutcome.OK));
-            }
+    private void simulateNode(int index) {
+        NodeRun run = new NodeRun(index);
+        run.start();
+        run.advance(SETTLE_MS);
+        run.measured = true;
+        run.advance(seconds * 1000.0);
+        BitSet retained = run.node.retainedEndpoints();
+        retained.stream().forEach(connectionsPerEndpoint::incrementAndGet);
+        connectionsPerNode[index] = retained.cardinality();
+        nodesDone.incrementAndGet();
+    }
+
+    /** One node with a clock, peers and clients of its own. */
+    private final class NodeRun {
+        private final VirtualClock clock = new VirtualClock(SimulatedFleet.START_MS);
+        private final SplittableRandom random;
+        private final SimulatedNode node;
+        private final CustomerPopulation customers = new CustomerPopulation(
+                (int) Math.max(10, options.customersPerNode * ScaleSettings.GATEWAYS_PER_CUSTOMER),
+                CustomerPopulation.SKEW);
+        private boolean measured;
+        private long requests;
+
+        NodeRun(int index) {
+            random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + index);
+            UnloadedPeers peers =
+                    new UnloadedPeers(clock, random, options.serviceMs, options.counterRoundTripMs, this::countAttempt);
+            node = new SimulatedNode(
+                    ScaleSettings.settings(sharedSettings, index, size, options.zones), clock, peers, new Histogram(3));
+        }
 
-            @Override
-            public void count(SimulatedNode node, long name, double amount) {
-                double total = totals.merge(name, amount, Double::sum);
-                int life = node.life();
-                clock.after(shape.counterWay, () -> node.counted(life, name, CallOutcome.OK, shape.counterWay, total));
+        private void countAttempt(int endpoint) {
+            if (measured) {
+                requestsPerEndpoint.incrementAndGet(endpoint);
             }
-        };
-        SimulatedNode node = new SimulatedNode(
-                ScaleSettings.settings(first, rank, size, shape.zones), clock, peers, new Histogram(3));
-        node.start(random.nextLong());
-        node.servers(whole, true);
-        CustomerPopulation customers = new CustomerPopulation(
-                (int) Math.max(10, shape.customersPerNode * ScaleSettings.SPREAD), CustomerPopulation.SKEW);
-        next(clock, random, node, customers, new long[1]);
-        run(clock, SETTLED);
-        measured[0] = true;
-        run(clock, seconds * 1000.0);
-        node.kept().stream().forEach(connections::incrementAndGet);
-        kept[rank] = node.kept().cardinality();
-        done.incrementAndGet();
-    }
+        }
 
-    private static void run(VirtualClock clock, double milliseconds) {
-        for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP) {
-            clock.to(clock.now() + STEP, () -> {});
+        void start() {
+            node.start(random.nextLong());
+            node.onEndpoints(completeList, true);
+            scheduleNextRequest();
         }
-    }
 
-    private void next(
-            VirtualClock clock, SplittableRandom random, SimulatedNode node, CustomerPopulation customers, long[] ids) {
-        clock.after(-1000 / shape.rate * Math.log(1 - random.nextDouble()), () -> {
-            next(clock, random, node, customers, ids);
-            node.arrive(new IncomingRequest(
-                    ++ids[0],
-                    ScaleSettings.type(random.nextDouble()),
-                    ScaleSettings.PLAN,
-                    customers.name(customers.pick(random)),
-                    ScaleSettings.DEADLINE,
-                    1,
-                    Math.min(size, ScaleSettings.SPREAD),
-                    node.rank,
-                    false));
-        });
+        /** Moves the clock on in steps; an interrupt ends it. */
+        void advance(double milliseconds) {
+            for (double left = milliseconds; left > 0 && !Thread.currentThread().isInterrupted(); left -= STEP_MS) {
+                clock.advanceTo(clock.now() + STEP_MS, () -> {});
+            }
+        }
+
+        private void scheduleNextRequest() {
+            clock.schedule(-1000 / options.requestsPerSecond * Math.log(1 - random.nextDouble()), () -> {
+                scheduleNextRequest();
+                node.onRequest(ScaleSettings.request(
+                        ++requests,
+                        ScaleSettings.requestClass(random.nextDouble()),
+                        customers.name(customers.pick(random)),
+                        Math.min(size, ScaleSettings.GATEWAYS_PER_CUSTOMER),
+                        node.index));
+            });
+        }
     }
 }
