--- a/src/main/java/quotagateway/policy/quota/CreditBalance.java
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -17,15 +17,23 @@
     /** How many of them there are: it is looked at for every customer at every re-split. */
     private int scheduledUnits;
 
+    private final boolean local;
     private double credits;
     private double unreported;
     private double accruedAt;
 
-    CreditBalance(double initialCredits, double now) {
+    /** @param local whether no other gateway shares the quota, so that nothing has to be reported */
+    CreditBalance(boolean local, double initialCredits, double now) {
+        this.local = local;
         credits = initialCredits;
         accruedAt = now;
     }
 
+    /** Whether no other gateway shares the quota. */
+    boolean isLocal() {
+        return local;
+    }
+
     /** Units that may be spent now; below 0 where units were spent on an estimate. */
     double credits() {
         return credits;
@@ -70,17 +78,13 @@
         }
     }
 
-    /** Adds units of a quota that no other gateway shares, as long as credits stay below a bound. */
+    /** Adds units of the gateway's share of the rate, as long as credits stay below a bound. */
     void accrue(double units, double maxCredits) {
-        credits += Math.max(0, Math.min(maxCredits - credits, units));
-    }
-
-    /** As {@link #accrue}, for units that have to be reported once they are spent. */
-    void accrueUnreported(double units, double maxCredits) {
-        double before = credits;
-        double accrued = Math.max(0, Math.min(maxCredits - before, units));
+        double accrued = Math.max(0, Math.min(maxCredits - credits, units));
         credits += accrued;
-        unreported += accrued;
+        if (!local) {
+            unreported += accrued;
+        }
     }
 
     /** Takes credits back that are returned to the counter. */
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -47,7 +47,8 @@
         boolean sharedCounter = context.settings().capabilities().sharedCounter();
         holder = QuotaHolder.of(name, plan, gatewayCount, position, sharedCounter);
         counter = new CustomerCounter(this, holder.key(), context.calls());
-        balance = new CreditBalance(holder.local() ? Math.floor(plan.burst() / holder.gatewayCount()) : 0, now);
+        balance = new CreditBalance(
+                holder.local(), holder.local() ? Math.floor(plan.burst() / holder.gatewayCount()) : 0, now);
         share = new ShareCalculator(holder, now);
         estimate = new StoreEstimate(holder, share, now);
         grants = new GrantEstimator(plan, context.limiter(), context.usualGrant());
@@ -147,18 +148,14 @@
     private void accrue() {
         double now = context.now();
         balance.collectDue(now);
-        if (holder.local() || context.calls().isSilent()) {
+        if (balance.isLocal() || context.calls().isSilent()) {
             double from = Math.max(
                     balance.accruedAt(), holder.local() ? 0 : context.calls().silentSince());
             double maxCredits =
                     Math.max(context.settings().maxUnits(), holder.plan().burst() * share.share());
             share.driftToEven(now - from);
             double units = holder.plan().rate() * share.share() * (now - from) / 1000;
-            if (holder.local()) {
-                balance.accrue(units, maxCredits);
-            } else {
-                balance.accrueUnreported(units, maxCredits);
-            }
+            balance.accrue(units, maxCredits);
         }
         balance.setAccruedAt(now);
     }
--- a/src/test/java/quotagateway/policy/quota/QuotaPartsTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaPartsTest.java
@@ -60,7 +60,7 @@
 
     @Test
     void scheduledUnitsBecomeCreditsWhenTheyFallDue() {
-        CreditBalance balance = new CreditBalance(0, 0);
+        CreditBalance balance = new CreditBalance(false, 0, 0);
         balance.add(2);
         balance.schedule(100);
         balance.schedule(200);
@@ -74,9 +74,9 @@
 
     @Test
     void leasedUnitsAreSpentBeforeUnreportedOnes() {
-        CreditBalance balance = new CreditBalance(0, 0);
+        CreditBalance balance = new CreditBalance(false, 0, 0);
         balance.add(3);
-        balance.accrueUnreported(5, 5);
+        balance.accrue(5, 5);
         assertEquals(5, balance.credits(), "up to the most");
         assertEquals(2, balance.unreported());
         assertEquals(0, balance.spend(3));
@@ -87,14 +87,14 @@
 
     @Test
     void unitsSpentWithoutCreditsAreToBeReported() {
-        CreditBalance balance = new CreditBalance(0, 0);
+        CreditBalance balance = new CreditBalance(false, 0, 0);
         assertEquals(2, balance.spend(2));
         assertEquals(0, balance.credits());
     }
 
     @Test
     void localCreditsStayBelowTheirBound() {
-        CreditBalance balance = new CreditBalance(4, 0);
+        CreditBalance balance = new CreditBalance(true, 4, 0);
         balance.accrue(10, 6);
         assertEquals(6, balance.credits());
         balance.accrue(1, 2);
