--- a/src/main/java/quotagateway/policy/admission/CustomerDirectory.java
+++ b/src/main/java/quotagateway/policy/admission/CustomerDirectory.java
@@ -52,8 +52,8 @@
         double now = clock.now();
         customers
                 .values()
-                .removeIf(customer -> !resplit.isActive(customer.quota())
+                .removeIf(customer -> now - customer.queue().lastArrivalAt() > FORGET_AFTER_MS
                         && !customer.queue().isInRotation()
-                        && now - customer.queue().lastArrivalAt() > FORGET_AFTER_MS);
+                        && !resplit.isActive(customer.quota()));
     }
 }
--- a/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
+++ b/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
@@ -17,6 +17,7 @@
     private static final double RETRY_INTERVAL_MS = 25;
 
     private final AdmissionQueue queue = new AdmissionQueue();
+    private final AdmissionQueue.Server server = this::offer;
     private final OpenRequests requests;
     private final AttemptSender sender;
     private final RetryPolicy retryPolicy;
@@ -55,7 +56,7 @@
 
     /** Sends what may be sent now; called at the end of every event that may have made room. */
     public void dispatch() {
-        queue.serve(this::offer);
+        queue.serve(server);
     }
 
     private AdmissionQueue.Offer offer(PendingRequest request) {
--- a/src/main/java/quotagateway/policy/endpoint/ConsistentHashRing.java
+++ b/src/main/java/quotagateway/policy/endpoint/ConsistentHashRing.java
@@ -3,8 +3,8 @@
 import quotagateway.policy.hash.SplitMix64;
 
 /**
- * Consistent hashing of endpoints and gateways onto a ring of buckets, one bucket for each gateway. All gateways compute
- * the same ring without a word exchanged.
+ * Consistent hashing of endpoints and gateways onto a ring of buckets, one bucket for each gateway. All gateways
+ * compute the same ring without a word exchanged.
  */
 public final class ConsistentHashRing {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -16,7 +16,8 @@
 
     /**
      * The bucket of an endpoint, by jump consistent hash (Lamping and Veach, "A Fast, Minimal Memory, Consistent Hash
-     * Algorithm") over its id's FNV-1a hash: with one bucket more, only that bucket's part of the endpoints moves there.
+     * Algorithm") over its id's FNV-1a hash: with one bucket more, only that bucket's part of the endpoints moves
+     * there.
      */
     static int bucket(String id, int buckets) {
         long key = FNV_OFFSET;
--- a/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
@@ -12,8 +12,8 @@
 
 /**
  * What the endpoint lists say of every endpoint, in some 140 bytes each: of 200,000 a gateway uses few. It is a
- * container and decides nothing. Endpoints stand by their bucket of the {@link ConsistentHashRing}, and are found by id,
- * by bucket and by cell at a cost that does not grow with the list.
+ * container and decides nothing. Endpoints stand by their bucket of the {@link ConsistentHashRing}, and are found by
+ * id, by bucket and by cell at a cost that does not grow with the list.
  *
  * <p>It is a hash table with chains, and a second one by cell, in place of maps: an entry is its own node in both, and
  * the table's slots are ordered by bucket, so that a bucket is a range of slots.
--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -13,12 +13,12 @@
     /** Half is forgotten in this time, in which slowness is nearly gone. */
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
-    /** By the name of the class; none for classes that never failed. */
-    private Map<String, DecayingValue> failureShares = Map.of();
+    /** By the name of the class; none for classes that never failed, and null where none did. */
+    private Map<String, DecayingValue> failureShares;
 
     /** The part of this class's attempts that fail, from 0 to 1. */
     public double failureShare(RequestClass requestClass, double now) {
-        if (failureShares.isEmpty()) {
+        if (failureShares == null) {
             return 0; // as of most endpoints, in the choice among all of them
         }
         DecayingValue share = failureShares.get(requestClass.name());
@@ -26,19 +26,19 @@
     }
 
     public void recordSuccess(RequestClass requestClass, double now) {
-        DecayingValue share = failureShares.get(requestClass.name());
+        DecayingValue share = failureShares == null ? null : failureShares.get(requestClass.name());
         if (share != null) {
             add(share, 0, now);
         }
     }
 
     public void recordFailure(RequestClass requestClass, double now) {
+        if (failureShares == null) {
+            failureShares = new HashMap<>();
+        }
         DecayingValue share = failureShares.get(requestClass.name());
         if (share == null) {
             share = new DecayingValue(0, FAILURE_HALF_LIFE_MS, now);
-            if (failureShares.isEmpty()) {
-                failureShares = new HashMap<>();
-            }
             failureShares.put(requestClass.name(), share);
         }
         add(share, 1, now);
@@ -51,6 +51,6 @@
 
     /** Forgets everything: another process answers there now. */
     public void reset() {
-        failureShares = Map.of();
+        failureShares = null;
     }
 }
--- a/src/main/java/quotagateway/policy/quota/CreditBalance.java
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -4,8 +4,8 @@
 
 /**
  * The units that a gateway has in hand for one customer (credits): leased from the counter, some of them only from a
- * later time on, or taken from the gateway's share of the rate while the counter is away. The latter have to be reported
- * to the counter once they are spent.
+ * later time on, or taken from the gateway's share of the rate while the counter is away. The latter have to be
+ * reported to the counter once they are spent.
  */
 final class CreditBalance {
     /** Parts that fall due within this time are due: times are sums of rounded numbers. */
--- a/src/main/java/quotagateway/policy/quota/CustomerCounter.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerCounter.java
@@ -1,8 +1,8 @@
 package quotagateway.policy.quota;
 
 /**
- * One customer's totals on the shared counter. The customer has one exchange at a time that the quota waits for: a claim
- * of units, a carry-over or a try for a slot. Other calls (returns, corrections) go out beside it.
+ * One customer's totals on the shared counter. The customer has one exchange at a time that the quota waits for: a
+ * claim of units, a carry-over or a try for a slot. Other calls (returns, corrections) go out beside it.
  */
 final class CustomerCounter {
     private final CustomerQuota quota;
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -20,8 +20,9 @@
     private final QuotaHolder holder;
     private final QuotaContext context;
     private final QuotaDemand demand;
-    private final CustomerCounter counter;
     private final CreditBalance balance;
+    private final DemandEstimator usualDemand = new DemandEstimator();
+    private final CustomerCounter counter;
     private final ShareCalculator share;
     private final StoreEstimate estimate;
     private final QuotaLease lease;
@@ -30,7 +31,6 @@
     private final ConcurrencyQuota openRequests;
 
     private final HardLimit hardLimit;
-    private final DemandEstimator usualDemand = new DemandEstimator();
 
     /**
      * Makes the quota of a customer that has come up.
@@ -69,6 +69,9 @@
     public boolean admits(QuotaRequest request) {
         accrue();
         if (holder.plan().rate() > 0 && balance.credits() < request.units()) {
+            if (counter.isExchangeOpen()) {
+                return false; // what is missing is being asked for
+            }
             claimFor(request);
             if (!admitsUnasked(request)) {
                 return false;
--- a/src/main/java/quotagateway/policy/quota/DriftDetector.java
+++ b/src/main/java/quotagateway/policy/quota/DriftDetector.java
@@ -3,9 +3,9 @@
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
- * Compares what a total on the counter shows as left of a quota with what can be left. They drift apart: idle time fills
- * the total's allowance beyond the burst, a name is new or was lost by the counter, and calls that were taken as not
- * added were added, or the other way round. A large drift is corrected on the counter, by one gateway for all.
+ * Compares what a total on the counter shows as left of a quota with what can be left. They drift apart: idle time
+ * fills the total's allowance beyond the burst, a name is new or was lost by the counter, and calls that were taken
+ * as not added were added, or the other way round. A large drift is corrected on the counter, by one gateway for all.
  */
 final class DriftDetector {
     /** Drift up to this part of the burst is left alone. */
--- a/src/main/java/quotagateway/policy/quota/QuotaResplit.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaResplit.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The design page's re-split, four times a second, for the customers that hold requests or had some lately: returns what
- * is not used, and claims ahead what is usual, as far as calls to the counter are to be had. Requests that wait have
- * claimed before.
+ * The design page's re-split, four times a second, for the customers that hold requests or had some lately: returns
+ * what is not used, and claims ahead what is usual, as far as calls to the counter are to be had. Requests that wait
+ * have claimed before.
  */
 public final class QuotaResplit {
     private final CounterCalls calls;
--- a/src/main/java/quotagateway/policy/quota/ShareCalculator.java
+++ b/src/main/java/quotagateway/policy/quota/ShareCalculator.java
@@ -5,13 +5,15 @@
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
- * This gateway's part of a customer's quota, by what it and all gateways took of it lately. It is used where the counter
- * cannot be asked: it says how much of the rate may be given out here in the meantime.
+ * This gateway's part of a customer's quota, by what it and all gateways took of it lately. It is used where the
+ * counter cannot be asked: it says how much of the rate may be given out here in the meantime.
  */
 final class ShareCalculator {
     /** Of what was taken half counts no more after this time. */
     private static final double USE_HALF_LIFE_MS = 4000;
-    /** So much of a burst, taken evenly by all gateways, is added to what was seen: it is all that is known at first. */
+    /**
+     * So much of a burst, taken evenly by all gateways, is added to what was seen: it is all that is known at first.
+     */
     private static final double EVEN_PART_OF_BURST = 1.0 / 8;
 
     private final QuotaHolder holder;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/random/package-info.java
@@ -0,0 +1,2 @@
+/** The source of all chance in the policy. */
+package quotagateway.policy.random;
--- a/src/main/java/quotagateway/policy/slowstart/RecoveryRamp.java
+++ b/src/main/java/quotagateway/policy/slowstart/RecoveryRamp.java
@@ -24,9 +24,12 @@
     /** The part of its capacity that the endpoint has at the least, 1 when it is warm. */
     public double warmupFraction(double now) {
         double age = now - startedAt;
+        return age >= rules.slowStartDuration() ? 1 : fractionAt(age);
+    }
+
+    private double fractionAt(double age) {
         double initial = rules.slowStartInitialShare();
-        double duration = rules.slowStartDuration();
-        return age >= duration ? 1 : initial + (1 - initial) * Math.max(0, age) / duration;
+        return initial + (1 - initial) * Math.max(0, age) / rules.slowStartDuration();
     }
 
     public boolean isWarm(double now) {
