--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -38,8 +38,7 @@
 
 /**
  * Every decision of one gateway: which requests pass their quota, when and to which endpoint they are sent, and what is
- * tried again. It ties together the modules of the packages below, and has no state but theirs. The same events give
- * the same actions; all chance comes from one seed.
+ * tried again. It ties the modules of the packages below together. The same events give the same actions.
  *
  * <p>Every event runs in the same steps: the clock advances, timers that are due run, the event is passed to the module
  * that it concerns, and requests that wait are dispatched if it may have made room for them.
