--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -22,6 +22,7 @@
 import quotagateway.policy.quota.CustomerQuota;
 import quotagateway.policy.quota.QuotaContext;
 import quotagateway.policy.quota.QuotaResplit;
+import quotagateway.policy.random.SeededRandom;
 import quotagateway.policy.retry.IdempotencyRule;
 import quotagateway.policy.retry.RetryPolicy;
 import quotagateway.policy.routing.EndpointPicker;
@@ -37,8 +38,7 @@
 
 /**
  * Every decision of one gateway: which requests pass their quota, when and to which endpoint they are sent, and what is
- * tried again. It ties together the modules of the packages below, and has no state but theirs. The same events give
- * the same actions; all chance comes from one seed.
+ * tried again. It ties the modules of the packages below together. The same events give the same actions.
  *
  * <p>Every event runs in the same steps: the clock advances, timers that are due run, the event is passed to the module
  * that it concerns, and requests that wait are dispatched if it may have made room for them.
@@ -71,7 +71,7 @@
      * @param actions where its decisions go
      */
     public Policy(PolicySettings settings, long seed, double now, PolicyActions actions) {
-        Random random = new Random(seed);
+        Random random = new SeededRandom(seed);
         LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
         double marginMs = DEADLINE_MARGIN_TICKS * settings.tick();
         clock = new EventClock(now);
