--- a/src/main/java/quotagateway/scale/soak/ClientFleet.java
+++ b/src/main/java/quotagateway/scale/soak/ClientFleet.java
@@ -16,70 +16,59 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import quotagateway.policy.api.Idempotency;
-import quotagateway.policy.api.RequestClass;
-import quotagateway.scale.ScaleSettings;
 import quotagateway.scale.StandInLoops;
 
 /**
- * Clients of all nodes on one loop: an open load, on connections that they keep. Some write slowly, send many
- * commands at once, leave early, or connect and ask only later; all go on sending on what is open while a
- * node ends.
+ * The clients of all nodes, on one event loop: an open-loop load on connections that are kept and used again. Some
+ * clients misbehave as {@link ClientBehaviour} says, and all go on using open connections while a node shuts down. The
+ * requests with what became of them are kept for the {@link Oracle}.
  */
 final class ClientFleet {
-    /** A request is waited for so long (ms) past its time before it counts as unanswered. */
+    /** A request without a response counts as unanswered so long after its client's timeout. */
     private static final double UNANSWERED_AFTER_MS = 800;
 
     private static final int MAX_PIECES = 4;
     private static final int MAX_PIECE_PAUSE_MS = 150;
     private static final int MAX_PIPELINED = 5;
     private static final int MAX_ASK_LATE_MS = 900;
-    /** Connections that come to a node while it is told to end, in so long (ms), and ask only later. */
+    /** Connections that a node gets after SIGTERM, which send their request only later. */
     private static final int LATE_CONNECTIONS = 8;
 
     private static final int LATE_CONNECTIONS_WITHIN_MS = 330;
-    /** Customers of each set of nodes. */
-    private static final int CUSTOMERS_PER_NODE_SET = 8;
-
     private static final double NANOS_PER_MS = 1e6;
 
-    /** What a client does with its next request. */
-    private enum ClientBehaviour {
-        PLAIN,
-        SLOW,
-        PIPELINE,
-        LEAVE,
-        ASK_LATE
-    }
-
     private final EventLoopGroup group;
     private final RunClock clock;
-    private final SoakSettings settings;
+    private final RequestGenerator generator;
     private final List<NodeSlot> nodes;
     private final List<ArrayDeque<ClientConnection>> idleConnections = new ArrayList<>();
     private final List<ClientRequest> requests = new ArrayList<>();
     private final SplittableRandom random;
     private final double meanPauseMs;
-    private long lastRequestNumber;
     private boolean stopped;
 
-    /** Rate is of requests a second at each node. */
+    /**
+     * Clients that have not started.
+     *
+     * @param rate requests a second at each node
+     */
     ClientFleet(
             EventLoopGroup group, RunClock clock, SoakSettings settings, List<NodeSlot> nodes, double rate, long seed) {
         this.group = group;
         this.clock = clock;
-        this.settings = settings;
         this.nodes = nodes;
         random = new SplittableRandom(seed);
+        generator = new RequestGenerator(settings, random);
         meanPauseMs = 1000 / rate;
         nodes.forEach(node -> idleConnections.add(new ArrayDeque<>()));
     }
 
+    /** Begins to send requests to all nodes. */
     void start() {
         nodes.forEach(node -> group.execute(() -> scheduleNextRequest(node)));
     }
 
-    /** No more requests; those that are open are waited for. */
+    /** Sends no more requests; responses to the pending ones are still taken. */
     void stop() {
         group.execute(() -> stopped = true);
     }
@@ -95,8 +84,8 @@
         return group.submit(() -> List.copyOf(requests)).get();
     }
 
-    private void after(double milliseconds, Runnable what) {
-        group.schedule(what, Math.round(milliseconds * NANOS_PER_MS), TimeUnit.NANOSECONDS);
+    private void after(double delayMs, Runnable action) {
+        group.schedule(action, Math.round(delayMs * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 
     private void scheduleNextRequest(NodeSlot node) {
@@ -107,7 +96,7 @@
         after(-meanPauseMs * Math.log(1 - random.nextDouble()), () -> scheduleNextRequest(node));
     }
 
-    /** The front brings clients in for a while after a node has been told to end. */
+    /** Connects some clients to a node that has just got SIGTERM, as a load balancer does until it knows. */
     void onNodeTerminated(NodeSlot node) {
         group.execute(() -> {
             for (int i = 0; i < LATE_CONNECTIONS && !stopped; i++) {
@@ -116,81 +105,37 @@
         });
     }
 
-    private ClientBehaviour drawBehaviour() {
-        double chance = random.nextDouble();
-        return chance < 0.7
-                ? ClientBehaviour.PLAIN
-                : chance < 0.78
-                        ? ClientBehaviour.SLOW
-                        : chance < 0.86
-                                ? ClientBehaviour.PIPELINE
-                                : chance < 0.94 ? ClientBehaviour.LEAVE : ClientBehaviour.ASK_LATE;
-    }
-
     private void sendRequest(NodeSlot node) {
-        ClientBehaviour habit = drawBehaviour();
-        ClientConnection line = habit == ClientBehaviour.ASK_LATE
+        ClientBehaviour behaviour = ClientBehaviour.draw(random);
+        ClientConnection connection = behaviour == ClientBehaviour.ASK_LATE
                 ? null
                 : idleConnections.get(node.number).pollLast();
-        if (line != null) {
-            line.send(habit);
+        if (connection != null) {
+            connection.send(behaviour);
         } else if (node.mayConnect()) {
-            connect(node, habit);
+            connect(node, behaviour);
         }
     }
 
-    private void connect(NodeSlot node, ClientBehaviour habit) {
-        ClientConnection line = new ClientConnection(node);
-        StandInLoops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), line)
+    private void connect(NodeSlot node, ClientBehaviour behaviour) {
+        ClientConnection connection = new ClientConnection(node);
+        StandInLoops.connect(group, node.address(), new RedisDecoder(), new RedisBulkStringAggregator(), connection)
                 .addListener(f -> {
-                    if (f.isSuccess() && habit == ClientBehaviour.ASK_LATE) {
-                        after(random.nextInt(MAX_ASK_LATE_MS), () -> line.send(ClientBehaviour.PLAIN));
+                    if (f.isSuccess() && behaviour == ClientBehaviour.ASK_LATE) {
+                        after(random.nextInt(MAX_ASK_LATE_MS), () -> connection.send(ClientBehaviour.PLAIN));
                     } else if (f.isSuccess()) {
-                        line.send(habit);
-                    } // refused: its node is down, and the client asks elsewhere
+                        connection.send(behaviour);
+                    } // a refused connection means that the node is down; the client would go to another one
                 });
     }
 
-    private double drawClientTimeout(RequestClass type) {
-        double chance = random.nextDouble();
-        if (chance < 0.7) {
-            return type.deadline();
-        }
-        return Math.ceil(chance < 0.9 ? type.deadline() * (0.1 + 0.9 * random.nextDouble()) : 20 + random.nextInt(80));
-    }
-
     private ClientRequest newRequest(NodeSlot node) {
-        int type = random.nextInt(settings.classes().size());
-        ClientRequest request = new ClientRequest(
-                String.format("%016x", ++lastRequestNumber),
-                node.number,
-                node.processNumber(),
-                settings.classes().get(type),
-                drawClientTimeout(settings.classes().get(type)));
+        ClientRequest request = generator.newRequest(node);
         requests.add(request);
         return request;
     }
 
-    private String command(ClientRequest request) {
-        int spread = 1 + random.nextInt(Math.min(settings.nodes(), ScaleSettings.GATEWAYS_PER_CUSTOMER));
-        int first = Math.floorMod(request.node - random.nextInt(spread), settings.nodes());
-        boolean safe = request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
-        String list = "c=" + request.requestClass.name() + ",t="
-                + (random.nextInt(4) == 0 ? SoakSettings.SMALL_PLAN : ScaleSettings.PLAN) + ",d="
-                + (long) request.clientTimeout
-                + (request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY ? ",k=" + request.id : "")
-                + ",units=1,spread="
-                + spread + ",first=" + first;
-        int set = first * ScaleSettings.GATEWAYS_PER_CUSTOMER
-                + spread
-                - 1; // a customer has the same set of nodes at any time
-        String customer = String.format("%016x", set * CUSTOMERS_PER_NODE_SET + random.nextInt(CUSTOMERS_PER_NODE_SET));
-        return safe
-                ? StandInLoops.command("CALL.GET", customer, request.id, list)
-                : StandInLoops.command("CALL.POST", customer, request.id, list, "body");
-    }
-
-    /** One connection; its requests are answered in their order. */
+    /** One connection of a client; responses come in the order of the requests. */
     private final class ClientConnection extends SimpleChannelInboundHandler<RedisMessage> {
         private final NodeSlot node;
         private final ArrayDeque<ClientRequest> pendingRequests = new ArrayDeque<>();
@@ -207,14 +152,14 @@
             channel = ctx.channel();
         }
 
-        void send(ClientBehaviour habit) {
+        void send(ClientBehaviour behaviour) {
             if (!channel.isActive() || stopped) {
-                return; // it has ended meanwhile
+                return; // the connection has ended meanwhile
             }
             ClientRequest request = newRequest(node);
             pendingRequests.add(request);
-            String command = command(request);
-            switch (habit) {
+            String command = generator.command(request);
+            switch (behaviour) {
                 case SLOW -> writePieces(request, command, 1 + random.nextInt(MAX_PIECES));
                 case PIPELINE -> {
                     StringBuilder text = new StringBuilder(command);
@@ -223,7 +168,7 @@
                         ClientRequest next = newRequest(node);
                         pendingRequests.add(next);
                         all.add(next);
-                        text.append(command(next));
+                        text.append(generator.command(next));
                     }
                     write(text.toString(), all);
                 }
@@ -235,10 +180,10 @@
             }
         }
 
-        private void write(String text, List<ClientRequest> whole) {
+        private void write(String text, List<ClientRequest> completed) {
             channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), text)).addListener(f -> {
                 if (f.isSuccess()) {
-                    whole.forEach(this::onSent);
+                    completed.forEach(this::onSent);
                 }
             });
         }
@@ -248,7 +193,7 @@
             after(request.clientTimeout + UNANSWERED_AFTER_MS, () -> onWaitOver(request));
         }
 
-        /** Some pieces of a command, each after a pause. */
+        /** Writes a command in pieces, with a pause after each. */
         private void writePieces(ClientRequest request, String text, int pieces) {
             if (pieces <= 1 || text.length() < 2) {
                 write(text, List.of(request));
@@ -263,13 +208,16 @@
             });
         }
 
-        /** The wait for the answers before one does not count. */
+        /**
+         * Gives up on a request without a response. Time in which it waited for responses to earlier requests of its
+         * connection does not count.
+         */
         private void onWaitOver(ClientRequest request) {
             if (request.end != ClientRequest.End.OPEN) {
                 return;
             }
-            double over = Math.max(request.deadline(), request.firstInLineAt) + UNANSWERED_AFTER_MS;
-            if (pendingRequests.peek() == request && clock.now() >= over - 1) {
+            double unansweredAt = Math.max(request.deadline(), request.firstInLineAt) + UNANSWERED_AFTER_MS;
+            if (pendingRequests.peek() == request && clock.now() >= unansweredAt - 1) {
                 end(request, ClientRequest.End.NO_ANSWER);
                 closedByClient = true;
                 channel.close();
@@ -285,8 +233,8 @@
             }
         }
 
-        private void end(ClientRequest request, ClientRequest.End how) {
-            request.end = how;
+        private void end(ClientRequest request, ClientRequest.End end) {
+            request.end = end;
             request.endedAt = clock.now();
         }
 
@@ -294,7 +242,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
             ClientRequest request = pendingRequests.poll();
             if (request == null) {
-                return; // told of its end while it rests
+                return; // an idle connection is told that it will be closed
             }
             if (answer instanceof FullBulkStringRedisMessage value && !value.isNull()) {
                 request.response = value.content().toString(StandardCharsets.US_ASCII);
