--- a/src/main/java/quotagateway/scale/soak/FaultInjector.java
+++ b/src/main/java/quotagateway/scale/soak/FaultInjector.java
@@ -12,12 +12,12 @@
 import quotagateway.policy.api.EndpointState;
 import quotagateway.scale.DiscoveryStandIn;
 
-/** Carries a plan of faults out, each on a thread of its own, so that they overlap as they were drawn. */
+/** Carries out a plan of faults, each on a thread of its own, so that they overlap as they were drawn. */
 final class FaultInjector {
-    /** A change of discovery's address disturbs it for so long (ms). */
+    /** How long a change of its address disturbs discovery. */
     private static final double ADDRESS_CHANGE_MS = 4000;
 
-    /** What faults are done to. */
+    /** What faults are injected into, and who hears of unexpected ones. */
     record Targets(
             RunClock clock,
             List<NodeSlot> nodes,
@@ -34,7 +34,7 @@
         return thread;
     });
     private final List<EndpointChange> endpointChanges = new CopyOnWriteArrayList<>();
-    private final List<double[]> discoveryFaults = new CopyOnWriteArrayList<>();
+    private final List<FaultPeriod> discoveryFaults = new CopyOnWriteArrayList<>();
     private final Set<Integer> draining = new HashSet<>();
 
     FaultInjector(Targets scene) {
@@ -45,12 +45,12 @@
         return endpointChanges;
     }
 
-    /** From when until when (ms of the run) discovery was not well. */
-    List<double[]> discoveryFaults() {
+    /** When discovery was disturbed. */
+    List<FaultPeriod> discoveryFaults() {
         return discoveryFaults;
     }
 
-    /** Begins each fault at its time; returns when the last one has begun. */
+    /** Begins each fault at its time; returns once the last one has begun. */
     void play(List<FaultPlan.Fault> plan) throws InterruptedException {
         for (FaultPlan.Fault fault : plan) {
             double wait = fault.at() - targets.clock.now();
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Waits until all have ended. */
+    /** Waits until all faults have ended; false where one lasts longer than so many seconds. */
     boolean awaitEnd(long seconds) throws InterruptedException {
         threads.shutdown();
         return threads.awaitTermination(seconds, TimeUnit.SECONDS);
@@ -84,7 +84,7 @@
             case KILL -> targets.nodes.get(first).kill();
             case UPGRADE -> targets.nodes.get(first).upgrade();
             case HANGUP -> {
-                discoveryFaults.add(new double[] {targets.clock.now(), targets.clock.now() + ADDRESS_CHANGE_MS});
+                discoveryFaults.add(new FaultPeriod(targets.clock.now(), targets.clock.now() + ADDRESS_CHANGE_MS));
                 targets.nodes.get(first).hangup();
             }
             case PAUSE -> targets.nodes.get(first).pause(Math.round(fault.duration()));
@@ -117,7 +117,7 @@
         fault.targets().forEach(server -> targets.servers.setBehaviour(server, FaultyEndpoints.Behaviour.HEALTHY));
     }
 
-    /** Some nodes are told to end at once, while every third server hangs. */
+    /** Restarts several nodes together while every third endpoint hangs. */
     private void roll(FaultPlan.Fault fault) throws InterruptedException {
         int size = targets.servers.size();
         for (int server = 0; server < size; server += 3) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Servers drain, go, and come back; those that drain already are left alone. */
+    /** Endpoints drain, leave the list and come back; those that another fault drains already are left alone. */
     private void drain(FaultPlan.Fault fault) throws InterruptedException {
         Set<Integer> mine = new HashSet<>(fault.targets());
         synchronized (draining) {
@@ -160,7 +160,7 @@
 
     private void discovery(FaultPlan.Fault fault, FaultProxy.Mode mode) throws InterruptedException {
         double from = targets.clock.now();
-        discoveryFaults.add(new double[] {from, from + fault.duration()});
+        discoveryFaults.add(new FaultPeriod(from, from + fault.duration()));
         proxy(targets.discovery.get(fault.targets().get(0)), fault, mode);
     }
 
--- a/src/main/java/quotagateway/scale/soak/Oracle.java
+++ b/src/main/java/quotagateway/scale/soak/Oracle.java
@@ -11,35 +11,42 @@
 import quotagateway.scale.EndpointInventory;
 
 /**
- * Holds what clients and place servers saw against the protocol page's rules. It knows the faults of the run,
- * and excuses only what the page excuses. Each limit has some slack, as the machine is shared with it.
+ * Checks what clients and endpoints saw in a run against the rules of the protocol. It knows the faults of the run and
+ * excuses only what the protocol excuses. Each limit has some slack, as clients and endpoints share the machine with the
+ * nodes and note things late.
  */
 final class Oracle {
-    /** A connection that ends so close (ms) to a kill has ended by it. */
+    /** A connection that ends from so long before a kill to {@link #AFTER_KILL_MS} after it has ended by the kill. */
     private static final double BEFORE_KILL_MS = 50;
 
     private static final double AFTER_KILL_MS = 400;
-    /** A request that was sent so shortly (ms) before the end of its connection crossed it. */
+    /** A request sent so shortly before its connection was closed may have crossed the close on the way. */
     private static final double CROSSING_MS = 400;
-    /** A kill behind SIGTERM excuses requests that came up to then (ms). */
+    /** A kill after SIGTERM excuses requests that were sent up to so long after SIGTERM. */
     private static final double KILL_EXCUSES_UNTIL_MS = 700;
 
     private static final double LATE_RESPONSE_MS = 500;
     private static final double SENT_AFTER_DISCONNECT_MS = 100;
     private static final double STATED_TIMEOUT_SLACK_MS = 150;
     private static final double SLACK_MS = 150;
-    /** News counts as told so long (ms) after discovery had it and could be reached. */
+    /** A node knows of a change at most so long after discovery had it and could be reached. */
     private static final double NOTIFIED_WITHIN_MS = 6000;
-    /** A node may be held up so long (ms) between reading its clock and writing. */
+    /** How long a node may be held up between reading its clock and writing to an endpoint. */
     private static final double NODE_DELAY_MS = 150;
 
-    /** What was seen, which faults there were, and how late something may have been noted at a time. */
+    /**
+     * Everything that a run observed.
+     *
+     * @param executions the attempts that endpoints saw of a request, by its id
+     * @param lifetimes the processes of each node, by its number
+     * @param lag how late (ms) something that is noted at a time may have been noted
+     */
     record Observations(
             List<ClientRequest> requests,
             Function<String, List<Execution>> executions,
             Map<Integer, List<ProcessLifetime>> lifetimes,
             List<EndpointChange> endpointChanges,
-            List<double[]> discoveryFaults,
+            List<FaultPeriod> discoveryFaults,
             DoubleUnaryOperator lag) {}
 
     private final Observations observations;
@@ -53,7 +60,11 @@
         this.drainGrace = drainGrace;
     }
 
-    /** All rules that were broken. */
+    /**
+     * All rules that were broken.
+     *
+     * @param drainGrace how long (ms) an endpoint may get attempts after a node knows that it drains
+     */
     static List<Violation> check(Observations seen, EndpointInventory servers, double drainGrace) {
         Oracle oracle = new Oracle(seen, servers, drainGrace);
         for (ClientRequest request : seen.requests) {
@@ -85,65 +96,69 @@
 
     // ---- answers ----
 
-    private void checkResponse(ClientRequest r, List<Execution> attempts) {
-        switch (r.end) {
-            case WRONG_VALUE -> report("lost, wrong value", r, attempts);
-            case NO_ANSWER -> report("lost, no answer", r, attempts);
-            case CONNECTION_ENDED -> checkConnectionEnd(r, attempts);
+    private void checkResponse(ClientRequest request, List<Execution> attempts) {
+        switch (request.end) {
+            case WRONG_VALUE -> report("lost, wrong value", request, attempts);
+            case NO_ANSWER -> report("lost, no answer", request, attempts);
+            case CONNECTION_ENDED -> checkConnectionEnd(request, attempts);
             default -> {}
         }
-        if (r.isAnswered()
-                && r.sentAt < r.endedAt
-                && r.endedAt > Math.max(r.deadline(), r.firstInLineAt) + LATE_RESPONSE_MS + slack(r.endedAt)) {
-            report("lost, late answer", r, attempts);
+        if (request.isAnswered()
+                && request.sentAt < request.endedAt
+                && request.endedAt
+                        > Math.max(request.deadline(), request.firstInLineAt)
+                                + LATE_RESPONSE_MS
+                                + slack(request.endedAt)) {
+            report("lost, late answer", request, attempts);
         }
     }
 
-    private void checkConnectionEnd(ClientRequest r, List<Execution> attempts) {
-        for (ProcessLifetime life : observations.lifetimes.getOrDefault(r.node, List.of())) {
-            boolean atKill = r.endedAt > life.killedAt - BEFORE_KILL_MS && r.endedAt < life.killedAt + AFTER_KILL_MS;
+    private void checkConnectionEnd(ClientRequest request, List<Execution> attempts) {
+        for (ProcessLifetime life : observations.lifetimes.getOrDefault(request.node, List.of())) {
+            boolean atKill =
+                    request.endedAt > life.killedAt - BEFORE_KILL_MS && request.endedAt < life.killedAt + AFTER_KILL_MS;
             if (atKill && life.isKilledOutright()) {
                 return;
             }
             if (atKill) {
-                if (r.sentAt > life.terminatedAt + KILL_EXCUSES_UNTIL_MS) {
-                    report("lost at the kill of a shutdown", r, attempts);
+                if (request.sentAt > life.terminatedAt + KILL_EXCUSES_UNTIL_MS) {
+                    report("lost at the kill of a shutdown", request, attempts);
                 }
                 return;
             }
         }
         if (!attempts.isEmpty()) {
-            report("lost, forwarded and closed", r, attempts);
-        } else if (r.endedAt - r.sentAt > CROSSING_MS + slack(r.endedAt) - SLACK_MS) {
-            report("lost, read and closed", r, attempts);
+            report("lost, forwarded and closed", request, attempts);
+        } else if (request.endedAt - request.sentAt > CROSSING_MS + slack(request.endedAt) - SLACK_MS) {
+            report("lost, read and closed", request, attempts);
         }
     }
 
     // ---- repeats ----
 
-    private void checkRetries(ClientRequest r, List<Execution> attempts) {
+    private void checkRetries(ClientRequest request, List<Execution> attempts) {
         for (int i = 1; i < attempts.size(); i++) {
             if (attempts.get(i).startedAt < attempts.get(i - 1).endedAt - slack(attempts.get(i - 1).endedAt)) {
-                report("copy, two attempts out", r, attempts);
+                report("copy, two attempts out", request, attempts);
                 break;
             }
         }
         List<Execution> ran = attempts.stream().filter(a -> a.mayHaveRun).toList();
-        if (ran.size() < 2 || r.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+        if (ran.size() < 2 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return;
         }
-        if (r.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            report("duplicate, unsafe", r, attempts);
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            report("duplicate, unsafe", request, attempts);
             return;
         }
         Execution first = ran.get(0);
         for (Execution a : ran.subList(1, ran.size())) {
-            if (a.startedAt > first.startedAt + r.requestClass.idempotencyWindow() + slack(a.startedAt)) {
-                report("duplicate, behind the window", r, attempts);
+            if (a.startedAt > first.startedAt + request.requestClass.idempotencyWindow() + slack(a.startedAt)) {
+                report("duplicate, behind the window", request, attempts);
                 return;
             }
-            if (!sameScope(r.requestClass.retryScope(), first.endpoint, a.endpoint)) {
-                report("duplicate, in another group", r, attempts);
+            if (!sameScope(request.requestClass.retryScope(), first.endpoint, a.endpoint)) {
+                report("duplicate, in another group", request, attempts);
                 return;
             }
         }
@@ -159,16 +174,17 @@
 
     // ---- attempts ----
 
-    private void checkAttempts(ClientRequest r, List<Execution> attempts) {
+    private void checkAttempts(ClientRequest request, List<Execution> attempts) {
         for (Execution a : attempts) {
-            if (r.end == ClientRequest.End.CLIENT_LEFT
-                    && a.startedAt > r.endedAt + SENT_AFTER_DISCONNECT_MS + slack(a.startedAt)) {
-                report("lost, sent after the client had gone", r, attempts);
+            if (request.end == ClientRequest.End.CLIENT_LEFT
+                    && a.startedAt > request.endedAt + SENT_AFTER_DISCONNECT_MS + slack(a.startedAt)) {
+                report("lost, sent after the client had gone", request, attempts);
             }
-            if (r.sentAt == Double.POSITIVE_INFINITY) {
-                report("forwarded, though it never came whole", r, attempts);
-            } else if (a.statedTimeout > r.deadline() - a.startedAt + STATED_TIMEOUT_SLACK_MS + slack(a.startedAt)) {
-                report("deadline, told more than is left", r, attempts);
+            if (request.sentAt == Double.POSITIVE_INFINITY) {
+                report("forwarded, though it never came whole", request, attempts);
+            } else if (a.statedTimeout
+                    > request.deadline() - a.startedAt + STATED_TIMEOUT_SLACK_MS + slack(a.startedAt)) {
+                report("deadline, told more than is left", request, attempts);
             }
             for (EndpointChange news : observations.endpointChanges) {
                 if (news.endpoint() == a.endpoint
@@ -180,18 +196,21 @@
                                         + NODE_DELAY_MS
                                         + SLACK_MS
                                         + slack(a.startedAt)) {
-                    report("drain, sent to s" + a.endpoint + " told of at " + Math.round(news.from()), r, attempts);
+                    report(
+                            "drain, sent to s" + a.endpoint + " told of at " + Math.round(news.from()),
+                            request,
+                            attempts);
                 }
             }
         }
     }
 
-    /** At once where discovery was well for long before; else as the page allows. */
+    /** How long (ms) after a change a node may not know of it: 0 unless discovery was disturbed around it. */
     private double notificationDelay(EndpointChange news, Execution a) {
         double last = Double.NEGATIVE_INFINITY;
-        for (double[] fault : observations.discoveryFaults) {
-            if (fault[0] < a.startedAt && fault[1] > news.from() - NOTIFIED_WITHIN_MS) {
-                last = Math.max(last, fault[1]);
+        for (FaultPeriod fault : observations.discoveryFaults) {
+            if (fault.from() < a.startedAt && fault.until() > news.from() - NOTIFIED_WITHIN_MS) {
+                last = Math.max(last, fault.until());
             }
         }
         return last == Double.NEGATIVE_INFINITY ? 0 : Math.max(0, last - news.from()) + NOTIFIED_WITHIN_MS;
--- a/src/main/java/quotagateway/scale/soak/SoakCommand.java
+++ b/src/main/java/quotagateway/scale/soak/SoakCommand.java
@@ -84,7 +84,7 @@
                 ? Files.createTempDirectory("quota-gateway-soak")
                 : Files.createDirectories(keep.resolve("seed-" + next));
         try {
-            SoakRun.Report report = new SoakRun(
+            SoakReport report = new SoakRun(
                             repository.root(), folder, new SoakRun.Size(size, servers, seconds, rate, faults))
                     .run(next);
             System.out.println(report);
--- a/src/test/java/quotagateway/scale/soak/OracleTest.java
+++ b/src/test/java/quotagateway/scale/soak/OracleTest.java
@@ -19,7 +19,7 @@
     private final List<Execution> attempts = new ArrayList<>();
     private final List<ProcessLifetime> lives = new ArrayList<>();
     private final List<EndpointChange> news = new ArrayList<>();
-    private final List<double[]> discoveryFaults = new ArrayList<>();
+    private final List<FaultPeriod> discoveryFaults = new ArrayList<>();
     private double lag;
 
     private static ClientRequest request(Idempotency effect, ClientRequest.End end, double ended) {
@@ -168,7 +168,7 @@
         news.set(0, new EndpointChange(1, 9_000, 10_000));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "it was back");
         news.set(0, new EndpointChange(1, 9_000, 20_000));
-        discoveryFaults.add(new double[] {8_500, 9_500});
+        discoveryFaults.add(new FaultPeriod(8_500, 9_500));
         assertEquals(List.of(), rules(ClientRequest.End.SERVED, 10_110), "discovery could not be reached");
     }
 }
