--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -18,9 +18,9 @@
         mixinStandardHelpOptions = true,
         description = "Time from a change at the agent to the last real node's last request against it")
 final class ChangeExperiment extends Experiment {
-    private static final int SETTLED = 4000;
+    private static final int SETTLE_MS = 4000;
     /** Memory of a node: more than so many would take over half of a usual machine. */
-    private static final int NODES_MOST = 32;
+    private static final int MAX_NODES = 32;
 
     @Mixin
     RepositoryOption repository;
@@ -56,11 +56,11 @@
     @Override
     void measure() throws Exception {
         requireAtLeast(sizes, 1, "--nodes");
-        require(sizes.stream().allMatch(s -> s <= NODES_MOST), "--nodes has to be " + NODES_MOST + " or less");
+        require(sizes.stream().allMatch(s -> s <= MAX_NODES), "--nodes has to be " + MAX_NODES + " or less");
         require(
                 listed > 1 && rate > 0 && changes > 0 && pause > 0,
                 "--servers has to be above 1, --rate, --changes and --pause-ms above 0");
-        NodeLaunch.run(repository.root());
+        NodeLaunch.runLine(repository.root());
         for (int size : sizes) {
             showProgress(size + " nodes");
             point(size);
@@ -68,14 +68,14 @@
     }
 
     private void point(int size) throws Exception {
-        EventLoopGroup peers = StandInLoops.one();
-        EventLoopGroup clients = StandInLoops.one();
+        EventLoopGroup peers = StandInLoops.singleThread();
+        EventLoopGroup clients = StandInLoops.singleThread();
         EndpointInventory all = new EndpointInventory(listed, 1);
         List<RealNode> nodes = new ArrayList<>();
         try (EndpointStandIns place = new EndpointStandIns(peers, listed, 0, 1);
                 CounterStandIn counter = new CounterStandIn(peers, 0, 1e4, 0);
                 DiscoveryStandIn agent = new DiscoveryStandIn(
-                        peers, 0, all, place::dial, new DiscoveryStandIn.ListFormat(false, false), seed)) {
+                        peers, 0, all, place::hostAndPort, new DiscoveryStandIn.ListFormat(false, false), seed)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 nodes.add(RealNode.start(
@@ -91,7 +91,7 @@
             LoadDriver load = new LoadDriver(
                     clients, addresses, size, new CustomerPopulation(1000, CustomerPopulation.SKEW), rate * size, seed);
             load.start();
-            Thread.sleep(SETTLED);
+            Thread.sleep(SETTLE_MS);
             Histogram times = new Histogram(3);
             for (int i = 0; i < changes; i++) {
                 checkTimeLimitNow();
@@ -114,7 +114,7 @@
         long told = System.nanoTime();
         agent.change(Set.of(server), EndpointState.DRAINING, 0);
         Thread.sleep(pause);
-        long last = place.lastGot.get(server);
+        long last = place.lastRequestNanos.get(server);
         agent.change(Set.of(server), EndpointState.UP, 0);
         Thread.sleep(pause);
         return Math.max(0, (last - told) / 1000);
--- a/src/main/java/quotagateway/scale/CounterStandIn.java
+++ b/src/main/java/quotagateway/scale/CounterStandIn.java
@@ -16,28 +16,28 @@
 
 /** The counter: running totals by name, so many calls a second in one line, each after a delay. */
 public final class CounterStandIn implements AutoCloseable {
-    private static final double LIFE_MOST = 60_000;
-    private static final int NAME_MOST = 64;
-    private static final double AMOUNT_MOST = 1e9;
+    private static final double MAX_KEEP_MS = 60_000;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final double MAX_AMOUNT = 1e9;
 
     private static final class Total {
         double value;
-        long endsAt;
+        long expiresAtNanos;
     }
 
     private final Channel listener;
-    private final long perCall;
-    private final long delay;
+    private final long nanosPerCall;
+    private final long delayNanos;
     private final Map<String, Total> totals = new HashMap<>();
-    private long free = System.nanoTime();
-    private int sinceSwept;
+    private long queueEmptyAtNanos = System.nanoTime();
+    private int addsSinceSweep;
     final AtomicLong calls = new AtomicLong();
     public volatile boolean silent;
 
     public CounterStandIn(EventLoopGroup group, int port, double perSecond, double delayMs)
             throws InterruptedException {
-        perCall = Math.round(1e9 / perSecond);
-        delay = Math.round(delayMs * 1e6);
+        nanosPerCall = Math.round(1e9 / perSecond);
+        delayNanos = Math.round(delayMs * 1e6);
         listener = StandInLoops.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), () -> {
             List<ChannelHandler> handlers = StandInLoops.resp();
             handlers.add(new RespStandInHandler() {
@@ -66,8 +66,8 @@
         }
         boolean good = words.size() == 4
                 && words.get(0).equals("CNT.ADD")
-                && words.get(1).length() <= NAME_MOST
-                && Math.abs(amount) <= AMOUNT_MOST
+                && words.get(1).length() <= MAX_NAME_LENGTH
+                && Math.abs(amount) <= MAX_AMOUNT
                 && life >= 1;
         if (!good) {
             answer.accept("-ERR no such call\r\n");
@@ -78,25 +78,25 @@
             return;
         }
         long now = System.nanoTime();
-        free = Math.max(free, now) + perCall;
+        queueEmptyAtNanos = Math.max(queueEmptyAtNanos, now) + nanosPerCall;
         ctx.executor()
                 .schedule(
                         () -> answer.accept(StandInLoops.bulk(add(words.get(1), amount, life))),
-                        free - now + delay,
+                        queueEmptyAtNanos - now + delayNanos,
                         TimeUnit.NANOSECONDS);
     }
 
     /** Seven digits of a total are told. */
     private String add(String name, double amount, double life) {
         long now = System.nanoTime();
-        if (++sinceSwept > 10_000) {
-            sinceSwept = 0;
-            totals.values().removeIf(t -> t.endsAt < now);
+        if (++addsSinceSweep > 10_000) {
+            addsSinceSweep = 0;
+            totals.values().removeIf(t -> t.expiresAtNanos < now);
         }
         Total t = totals.get(name);
-        if (t == null || t.endsAt < now) {
+        if (t == null || t.expiresAtNanos < now) {
             t = new Total();
-            t.endsAt = now + (long) (Math.min(life, LIFE_MOST) * 1e6);
+            t.expiresAtNanos = now + (long) (Math.min(life, MAX_KEEP_MS) * 1e6);
             totals.put(name, t);
         }
         t.value += amount;
--- a/src/main/java/quotagateway/scale/DiscoveryStandIn.java
+++ b/src/main/java/quotagateway/scale/DiscoveryStandIn.java
@@ -43,30 +43,30 @@
  */
 public final class DiscoveryStandIn implements AutoCloseable {
     /** How lists are written. */
-    public record ListFormat(boolean torn, boolean indented) {}
+    public record ListFormat(boolean inParts, boolean indented) {}
 
     private static final String PATH = "/catalog/members";
-    private static final long BEAT = 2;
+    private static final long HEARTBEAT_SECONDS = 2;
     /** Torn lists come in parts of up to so many bytes, with a pause (us) between. */
-    private static final int PART = 20_000;
+    private static final int MAX_PART_BYTES = 20_000;
 
-    private static final int PAUSE = 300;
+    private static final int MAX_PAUSE_US = 300;
 
     private final EventLoopGroup group;
     private final Channel listener;
     private final ChannelGroup watches;
-    private final EndpointInventory servers;
-    private final IntFunction<String> dial;
-    private final ListFormat form;
+    private final EndpointInventory inventory;
+    private final IntFunction<String> addressOf;
+    private final ListFormat format;
     private final SplittableRandom random;
     /** The changes since version 1, in their order; a watch may begin at any of them. */
-    private final List<Integer> changed = new ArrayList<>();
+    private final List<Integer> changes = new ArrayList<>();
 
-    private final EndpointState[] health;
-    private final long[] bornMs;
-    private byte[] whole;
+    private final EndpointState[] states;
+    private final long[] startedAtMs;
+    private byte[] completeList;
     private boolean silent;
-    final AtomicLong bytes = new AtomicLong();
+    final AtomicLong bytesSent = new AtomicLong();
 
     public DiscoveryStandIn(
             EventLoopGroup group,
@@ -77,19 +77,23 @@
             long seed)
             throws InterruptedException {
         this.group = group;
-        this.servers = servers;
-        this.dial = dial;
-        this.form = form;
+        this.inventory = servers;
+        this.addressOf = dial;
+        this.format = form;
         random = new SplittableRandom(seed);
         watches = new DefaultChannelGroup(group.next());
-        health = new EndpointState[servers.size()];
-        java.util.Arrays.fill(health, EndpointState.UP);
-        bornMs = new long[servers.size()];
+        states = new EndpointState[servers.size()];
+        java.util.Arrays.fill(states, EndpointState.UP);
+        startedAtMs = new long[servers.size()];
         listener = StandInLoops.listen(
                 group,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 () -> List.of(new HttpServerCodec(), new HttpObjectAggregator(4096), new Asked()));
-        group.scheduleAtFixedRate(() -> push("\n".getBytes(StandardCharsets.US_ASCII)), BEAT, BEAT, TimeUnit.SECONDS);
+        group.scheduleAtFixedRate(
+                () -> push("\n".getBytes(StandardCharsets.US_ASCII)),
+                HEARTBEAT_SECONDS,
+                HEARTBEAT_SECONDS,
+                TimeUnit.SECONDS);
     }
 
     public int port() {
@@ -100,17 +104,17 @@
     public void change(Set<Integer> which, EndpointState to, long born) {
         group.execute(() -> {
             for (int server : which) {
-                health[server] = to;
-                bornMs[server] = born;
-                changed.add(server);
+                states[server] = to;
+                startedAtMs[server] = born;
+                changes.add(server);
             }
-            whole = null;
+            completeList = null;
             push(list(false, which));
         });
     }
 
     /** Silent: open watches get nothing more, and new calls no answer. */
-    public void silence(boolean on) {
+    public void setSilent(boolean on) {
         group.execute(() -> silent = on);
     }
 
@@ -124,11 +128,11 @@
 
     /** A version is one more than the changes before it. */
     private byte[] list(boolean all, Iterable<Integer> which) {
-        String space = form.indented ? "\n  " : "";
+        String space = format.indented ? "\n  " : "";
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         put(
                 text,
-                "{" + space + "\"seq\":" + (1 + changed.size()) + ',' + space + "\"whole\":" + all + ','
+                "{" + space + "\"seq\":" + (1 + changes.size()) + ',' + space + "\"whole\":" + all + ','
                         + space
                         + "\"hosts\":[");
         String comma = "";
@@ -136,7 +140,7 @@
             put(text, comma + space + entry(server));
             comma = ",";
         }
-        put(text, (form.indented ? "\n]\n}" : "]}") + "\n");
+        put(text, (format.indented ? "\n]\n}" : "]}") + "\n");
         return text.toByteArray();
     }
 
@@ -145,47 +149,47 @@
     }
 
     private String entry(int server) {
-        EndpointDescriptor s = servers.descriptor(server, health[server], (double) bornMs[server]);
-        String word = switch (health[server]) {
+        EndpointDescriptor s = inventory.descriptor(server, states[server], (double) startedAtMs[server]);
+        String word = switch (states[server]) {
             case UP -> "active";
             case DRAINING -> "leaving";
             case REMOVED -> "left";
         };
-        return "{\"host\":\"" + s.id() + "\",\"dial\":\"" + dial.apply(server) + "\",\"site\":\"" + s.zone()
+        return "{\"host\":\"" + s.id() + "\",\"dial\":\"" + addressOf.apply(server) + "\",\"site\":\"" + s.zone()
                 + "\",\"class\":\"m\",\"block\":" + s.cell() + ",\"health\":\"" + word
                 + "\",\"share\":1.0,\"born_ms\":"
-                + bornMs[server] + "}";
+                + startedAtMs[server] + "}";
     }
 
     /** The whole list as text, in discovery's form. */
-    public byte[] whole() {
-        if (whole == null) {
+    public byte[] completeList() {
+        if (completeList == null) {
             List<Integer> all = new ArrayList<>();
-            for (int i = 0; i < health.length; i++) {
-                if (health[i] != EndpointState.REMOVED) {
+            for (int i = 0; i < states.length; i++) {
+                if (states[i] != EndpointState.REMOVED) {
                     all.add(i);
                 }
             }
-            whole = list(true, all);
+            completeList = list(true, all);
         }
-        return whole;
+        return completeList;
     }
 
     private void write(Channel to, ByteBuf text) {
-        bytes.addAndGet(text.readableBytes());
+        bytesSent.addAndGet(text.readableBytes());
         to.writeAndFlush(new DefaultHttpContent(text));
     }
 
     /** Writes a list whole, or in parts with pauses, and then what follows. */
     private void send(Channel to, ByteBuf list, Runnable then) {
-        if (!form.torn || list.readableBytes() < 2) {
+        if (!format.inParts || list.readableBytes() < 2) {
             write(to, list);
             then.run();
             return;
         }
-        int part = 1 + random.nextInt(Math.min(PART, list.readableBytes() - 1));
+        int part = 1 + random.nextInt(Math.min(MAX_PART_BYTES, list.readableBytes() - 1));
         write(to, list.readRetainedSlice(part));
-        group.schedule(() -> send(to, list, then), random.nextInt(PAUSE), TimeUnit.MICROSECONDS);
+        group.schedule(() -> send(to, list, then), random.nextInt(MAX_PAUSE_US), TimeUnit.MICROSECONDS);
     }
 
     @Override
@@ -213,11 +217,11 @@
                 ctx.write(head);
                 send(ctx.channel(), Unpooled.wrappedBuffer(since(asked)), () -> watches.add(ctx.channel()));
             } else {
-                HttpUtil.setContentLength(head, whole().length);
+                HttpUtil.setContentLength(head, completeList().length);
                 ctx.write(head);
                 send(
                         ctx.channel(),
-                        Unpooled.wrappedBuffer(whole()),
+                        Unpooled.wrappedBuffer(completeList()),
                         () -> ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
             }
         }
@@ -229,11 +233,11 @@
                                 .getOrDefault("since", List.of(""))
                                 .get(0))
                         - 1;
-                return list(false, new LinkedHashSet<>(changed.subList(from, changed.size())));
+                return list(false, new LinkedHashSet<>(changes.subList(from, changes.size())));
             } catch (NumberFormatException | IndexOutOfBoundsException e) {
-                return whole();
+                return completeList();
             } catch (IllegalArgumentException e) { // a version to come
-                return whole();
+                return completeList();
             }
         }
 
--- a/src/main/java/quotagateway/scale/EndpointStandIns.java
+++ b/src/main/java/quotagateway/scale/EndpointStandIns.java
@@ -21,22 +21,22 @@
     /** From 127.16.0.0 on: away from the addresses that a machine uses itself. */
     private static final LoopbackAddresses ADDRESSES = LoopbackAddresses.startingAt(16);
 
-    private static final int MOST = 1 << 19;
+    private static final int MAX_ENDPOINTS = 1 << 19;
 
     private final Channel listener;
     private final double serviceMs;
     /** Requests got, connections open, and when (ns) the last request came, by number of server. */
-    final AtomicLongArray got;
+    final AtomicLongArray requestsReceived;
 
-    final AtomicIntegerArray open;
-    final AtomicLongArray lastGot;
+    final AtomicIntegerArray openConnections;
+    final AtomicLongArray lastRequestNanos;
 
     EndpointStandIns(EventLoopGroup group, int size, int port, double serviceMs) throws InterruptedException {
-        Experiment.require(size <= MOST, "at most " + MOST + " place servers have an address");
+        Experiment.require(size <= MAX_ENDPOINTS, "at most " + MAX_ENDPOINTS + " place servers have an address");
         this.serviceMs = serviceMs;
-        got = new AtomicLongArray(size);
-        open = new AtomicIntegerArray(size);
-        lastGot = new AtomicLongArray(size);
+        requestsReceived = new AtomicLongArray(size);
+        openConnections = new AtomicIntegerArray(size);
+        lastRequestNanos = new AtomicLongArray(size);
         listener = StandInLoops.listen(group, new InetSocketAddress("0.0.0.0", port), this::handlers);
     }
 
@@ -51,14 +51,14 @@
     }
 
     /** Where a server listens, as discovery tells it. */
-    String dial(int server) {
+    String hostAndPort(int server) {
         return ADDRESSES.hostAndPort(server, port());
     }
 
     int connections() {
         int sum = 0;
-        for (int i = 0; i < open.length(); i++) {
-            sum += open.get(i);
+        for (int i = 0; i < openConnections.length(); i++) {
+            sum += openConnections.get(i);
         }
         return sum;
     }
@@ -78,18 +78,18 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             int at = ADDRESSES.numberOf((InetSocketAddress) ctx.channel().localAddress());
-            if (at < 0 || at >= got.length()) {
+            if (at < 0 || at >= requestsReceived.length()) {
                 ctx.close(); // no server of this run has that address
                 return;
             }
             server = at;
-            open.incrementAndGet(server);
+            openConnections.incrementAndGet(server);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (server >= 0) {
-                open.decrementAndGet(server);
+                openConnections.decrementAndGet(server);
             }
         }
 
@@ -106,8 +106,8 @@
                 return;
             }
             long from = System.nanoTime();
-            got.incrementAndGet(server);
-            lastGot.set(server, from);
+            requestsReceived.incrementAndGet(server);
+            lastRequestNanos.set(server, from);
             ctx.executor()
                     .schedule(
                             () -> answer.accept("*3\r\n" + StandInLoops.bulk("held=" + (System.nanoTime() - from))
--- a/src/main/java/quotagateway/scale/FleetExperiment.java
+++ b/src/main/java/quotagateway/scale/FleetExperiment.java
@@ -10,7 +10,7 @@
         description = "Connections and load a server, and counter calls, over the number of hollow nodes")
 final class FleetExperiment extends SimulatedFleetExperiment {
     /** Rates are learnt and first lists have come by then (virtual ms). */
-    private static final double SETTLED = 5000;
+    private static final double SETTLE_MS = 5000;
 
     @Option(
             names = "--seconds",
@@ -41,35 +41,35 @@
         if ((long) size * options.endpointCount(size) <= together) {
             together(size);
         } else {
-            lone(size);
+            measureIndependently(size);
         }
     }
 
     /** Calls to the counter and latency need nodes that meet: they are not told here. */
-    private void lone(int size) throws Exception {
+    private void measureIndependently(int size) throws Exception {
         IndependentNodes nodes = new IndependentNodes(options, size, seed, seconds);
         nodes.run(threads, () -> {
             checkTimeLimitNow();
             showProgress(nodes.progress());
         });
-        spread(size, nodes.connectionsPerEndpoint(), nodes.connectionsPerNode, nodes.requestsPerEndpoint());
+        addDistributions(size, nodes.connectionsPerEndpoint(), nodes.connectionsPerNode, nodes.requestsPerEndpoint());
     }
 
-    private void spread(int size, long[] connections, long[] kept, long[] load) {
+    private void addDistributions(int size, long[] connections, long[] kept, long[] load) {
         Distribution.of(connections).addTo(results, "fleet.connections_per_server", size, 1, "connections");
         Distribution.of(kept).addTo(results, "fleet.connections_per_node", size, 1, "connections");
         Distribution.of(load).addTo(results, "fleet.requests_per_server_s", size, seconds, "1/s");
     }
 
     private void together(int size) {
-        SimulatedFleet fleet = startFleet(size, SETTLED);
-        long[] before = got(fleet);
+        SimulatedFleet fleet = startFleet(size, SETTLE_MS);
+        long[] before = attemptsReceived(fleet);
         long calls = fleet.counter.calls;
         long arrivals = fleet.arrivals();
         long served = fleet.served();
         fleet.latency.reset();
         run(fleet, seconds * 1000.0);
-        long[] load = got(fleet);
+        long[] load = attemptsReceived(fleet);
         for (int i = 0; i < load.length; i++) {
             load[i] -= before[i];
         }
@@ -77,7 +77,7 @@
         for (int i = 0; i < size; i++) {
             kept[i] = fleet.nodes[i].retainedEndpoints().cardinality();
         }
-        spread(size, fleet.connections(), kept, load);
+        addDistributions(size, fleet.connections(), kept, load);
         double called = (fleet.counter.calls - calls) / (double) seconds;
         results.add("fleet.counter_calls_per_node_s", "nodes", size, called / size, "1/s");
         results.add("fleet.counter_calls_all_s", "nodes", size, called, "1/s");
@@ -98,7 +98,7 @@
         }
     }
 
-    private static long[] got(SimulatedFleet fleet) {
+    private static long[] attemptsReceived(SimulatedFleet fleet) {
         long[] got = new long[fleet.endpoints.length];
         for (int i = 0; i < got.length; i++) {
             got[i] = fleet.endpoints[i].attemptsReceived;
--- a/src/main/java/quotagateway/scale/LoadDriver.java
+++ b/src/main/java/quotagateway/scale/LoadDriver.java
@@ -24,18 +24,18 @@
  */
 final class LoadDriver {
     /** Clients have up to a third of a node's descriptors. */
-    private static final int CONNECTIONS = 300;
+    private static final int MAX_CONNECTIONS_PER_NODE = 300;
 
-    private static final double LONGEST_US = 60e6;
+    private static final double MAX_RECORDED_US = 60e6;
 
     /** A request that is to go to a node at a time (ns). */
-    private record ScheduledRequest(Target target, String command, long intended) {}
+    private record ScheduledRequest(Target target, String command, long dueNanos) {}
 
     private static final class Target {
         final InetSocketAddress address;
-        final ArrayDeque<Channel> idle = new ArrayDeque<>();
-        final ArrayDeque<ScheduledRequest> waiting = new ArrayDeque<>();
-        int connections;
+        final ArrayDeque<Channel> idleConnections = new ArrayDeque<>();
+        final ArrayDeque<ScheduledRequest> waitingRequests = new ArrayDeque<>();
+        int connectionCount;
 
         Target(InetSocketAddress address) {
             this.address = address;
@@ -43,22 +43,22 @@
     }
 
     /** What has become of the requests since the last time. */
-    record LoadCounts(long asked, long served, long refused, long failed, Histogram added) {}
+    record LoadCounts(long sent, long served, long rejected, long failed, Histogram addedLatency) {}
 
     private final EventLoopGroup group;
     private final List<Target> targets;
     private final CustomerPopulation customers;
     private final SplittableRandom random;
-    private final double rate;
-    private final int fleet;
-    private double due;
-    private long ids;
+    private final double requestsPerSecond;
+    private final int nodeCount;
+    private double nextDueNanos;
+    private long lastRequestNumber;
     private boolean stopped;
-    private long asked;
+    private long sent;
     private long served;
-    private long refused;
+    private long rejected;
     private long failed;
-    private Histogram added = new Histogram(3);
+    private Histogram addedLatency = new Histogram(3);
 
     /** The nodes may be the first of a larger fleet: the sets of their customers are then of that size. */
     LoadDriver(
@@ -68,75 +68,75 @@
             CustomerPopulation customers,
             double rate,
             long seed) {
-        this.fleet = fleet;
+        this.nodeCount = fleet;
         this.group = group;
         this.customers = customers;
-        this.rate = rate;
+        this.requestsPerSecond = rate;
         random = new SplittableRandom(seed);
         targets = nodes.stream().map(Target::new).toList();
     }
 
     void start() {
         group.execute(() -> {
-            due = System.nanoTime();
-            next();
+            nextDueNanos = System.nanoTime();
+            sendDueRequests();
         });
     }
 
     void stop() throws InterruptedException {
         group.submit(() -> {
                     stopped = true;
-                    targets.forEach(t -> t.idle.forEach(Channel::close));
+                    targets.forEach(t -> t.idleConnections.forEach(Channel::close));
                 })
                 .await();
     }
 
     /** What has happened since the last call. */
-    LoadCounts take() throws Exception {
+    LoadCounts takeCounts() throws Exception {
         return group.submit(() -> {
-                    LoadCounts now = new LoadCounts(asked, served, refused, failed, added);
-                    asked = served = refused = failed = 0;
-                    added = new Histogram(3);
+                    LoadCounts now = new LoadCounts(sent, served, rejected, failed, addedLatency);
+                    sent = served = rejected = failed = 0;
+                    addedLatency = new Histogram(3);
                     return now;
                 })
                 .get();
     }
 
     /** All that are due by now go; the next time is by the plan, not by when this ran. */
-    private void next() {
-        while (!stopped && due <= System.nanoTime()) {
-            ask((long) due);
-            due -= 1e9 / rate * Math.log(1 - random.nextDouble());
+    private void sendDueRequests() {
+        while (!stopped && nextDueNanos <= System.nanoTime()) {
+            sendRequest((long) nextDueNanos);
+            nextDueNanos -= 1e9 / requestsPerSecond * Math.log(1 - random.nextDouble());
         }
         if (!stopped) {
-            group.schedule(this::next, (long) due - System.nanoTime(), TimeUnit.NANOSECONDS);
+            group.schedule(this::sendDueRequests, (long) nextDueNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void ask(long intended) {
+    private void sendRequest(long intended) {
         int customer = customers.pick(random);
-        boolean all = targets.size() == fleet;
-        int first = all ? CustomerPopulation.firstNode(customer, fleet) : 0;
-        int spread = Math.min(fleet, ScaleSettings.GATEWAYS_PER_CUSTOMER);
+        boolean all = targets.size() == nodeCount;
+        int first = all ? CustomerPopulation.firstNode(customer, nodeCount) : 0;
+        int spread = Math.min(nodeCount, ScaleSettings.GATEWAYS_PER_CUSTOMER);
         Target target = targets.get((first + random.nextInt(spread)) % targets.size());
         String type = ScaleSettings.requestClass(random.nextDouble());
-        String id = String.format("%016x", ++ids);
+        String id = String.format("%016x", ++lastRequestNumber);
         String list = "c=" + type + ",t=" + ScaleSettings.PLAN + ",d=" + Math.round(ScaleSettings.DEADLINE_MS)
                 + (type.equals(ScaleSettings.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first="
                 + first;
         String command = type.equals(ScaleSettings.READ)
                 ? StandInLoops.command("CALL.GET", customers.name(customer), id, list)
                 : StandInLoops.command("CALL.POST", customers.name(customer), id, list, "body");
-        asked++;
+        sent++;
         ScheduledRequest a = new ScheduledRequest(target, command, intended);
-        Channel idle = target.idle.poll();
+        Channel idle = target.idleConnections.poll();
         if (idle != null) {
             send(idle, a);
             return;
         }
-        target.waiting.add(a);
-        if (target.connections < CONNECTIONS) {
-            target.connections++;
+        target.waitingRequests.add(a);
+        if (target.connectionCount < MAX_CONNECTIONS_PER_NODE) {
+            target.connectionCount++;
             StandInLoops.connect(
                             group,
                             target.address,
@@ -145,7 +145,7 @@
                             new ClientConnection(target))
                     .addListener(f -> {
                         if (!f.isSuccess()) {
-                            target.connections--;
+                            target.connectionCount--;
                             failWaiting(target);
                         }
                     });
@@ -154,19 +154,19 @@
 
     /** The one that has waited longest goes without. */
     private void failWaiting(Target target) {
-        if (target.waiting.poll() != null) {
+        if (target.waitingRequests.poll() != null) {
             failed++;
         }
     }
 
     private static void send(Channel to, ScheduledRequest a) {
-        to.pipeline().get(ClientConnection.class).out = a;
+        to.pipeline().get(ClientConnection.class).inFlight = a;
         to.writeAndFlush(ByteBufUtil.writeAscii(to.alloc(), a.command));
     }
 
     private final class ClientConnection extends SimpleChannelInboundHandler<RedisMessage> {
         private final Target target;
-        private ScheduledRequest out;
+        private ScheduledRequest inFlight;
 
         ClientConnection(Target target) {
             this.target = target;
@@ -174,45 +174,45 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            free(ctx.channel());
+            sendNextOrIdle(ctx.channel());
         }
 
-        private void free(Channel channel) {
-            ScheduledRequest next = target.waiting.poll();
+        private void sendNextOrIdle(Channel channel) {
+            ScheduledRequest next = target.waitingRequests.poll();
             if (next != null) {
                 send(channel, next);
             } else {
-                target.idle.add(channel);
+                target.idleConnections.add(channel);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, RedisMessage answer) {
-            ScheduledRequest a = out;
+            ScheduledRequest a = inFlight;
             if (a == null) {
                 return; // no request of ours
             }
-            out = null;
+            inFlight = null;
             if (answer instanceof FullBulkStringRedisMessage value && !value.isNull()) {
                 served++;
                 String held = value.content().toString(StandardCharsets.US_ASCII);
-                double took = System.nanoTime() - a.intended - Double.parseDouble(held.substring("held=".length()));
-                added.recordValue((long) Math.max(1, Math.min(took / 1000, LONGEST_US)));
+                double took = System.nanoTime() - a.dueNanos - Double.parseDouble(held.substring("held=".length()));
+                addedLatency.recordValue((long) Math.max(1, Math.min(took / 1000, MAX_RECORDED_US)));
             } else if (answer instanceof ErrorRedisMessage error
                     && error.content().startsWith("BUSY")) {
-                refused++;
+                rejected++;
             } else {
                 failed++;
             }
-            free(ctx.channel());
+            sendNextOrIdle(ctx.channel());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            target.connections--;
-            target.idle.remove(ctx.channel());
-            failed += out == null ? 0 : 1;
-            out = null;
+            target.connectionCount--;
+            target.idleConnections.remove(ctx.channel());
+            failed += inFlight == null ? 0 : 1;
+            inFlight = null;
         }
 
         @Override
--- a/src/main/java/quotagateway/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -17,15 +17,15 @@
         description = "CPU a request and a list change, and memory, of the module alone on a virtual clock")
 final class ModuleExperiment extends Experiment {
     /** Memory is measured over so many entries at least: one small module is lost in the heap's noise. */
-    private static final int ENTRIES = 20_000;
+    private static final int MEMORY_ENTRIES = 20_000;
 
-    private static final int MODULES_MOST = 200;
+    private static final int MAX_POLICIES = 200;
     private static final int CHANGES = 200;
     /** Requests before the first point, so that all points are of compiled code. */
-    private static final int WARM = 20_000;
+    private static final int WARM_UP_REQUESTS = 20_000;
 
     private static final double START = 1_700_000_000_000.0;
-    private static final double STEP = 1000;
+    private static final double STEP_MS = 1000;
 
     @Option(
             names = "--servers",
@@ -75,14 +75,14 @@
     private final class Load {
         final VirtualClock clock = new VirtualClock(START);
         final CpuMeter meter = new CpuMeter();
-        final CustomerPopulation asking;
+        final CustomerPopulation customers;
         final SplittableRandom random = new SplittableRandom(seed);
         final UnloadedPeers peers = new UnloadedPeers(clock, random, service, 1, endpoint -> {});
         final SimulatedNode node;
         long requests;
 
-        Load(int customers) {
-            asking = new CustomerPopulation(customers, CustomerPopulation.SKEW);
+        Load(int customerCount) {
+            customers = new CustomerPopulation(customerCount, CustomerPopulation.SKEW);
             node = new SimulatedNode(ScaleSettings.settings(null, 0, nodes, zones), clock, peers, new Histogram(3));
             node.start(seed);
         }
@@ -90,11 +90,11 @@
         void next() {
             clock.schedule(-1000 / rate * Math.log(1 - random.nextDouble()), () -> {
                 next();
-                int customer = asking.pick(random);
+                int customer = customers.pick(random);
                 node.onRequest(ScaleSettings.request(
                         ++requests,
                         ScaleSettings.requestClass(random.nextDouble()),
-                        asking.name(customer),
+                        customers.name(customer),
                         Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
                         0));
             });
@@ -104,7 +104,7 @@
         void run(double virtual, double real) {
             long end = System.nanoTime() + (long) (real * 1e9);
             for (double to = clock.now() + virtual; clock.now() < to && System.nanoTime() < end; ) {
-                clock.advanceTo(Math.min(to, clock.now() + STEP / 10), ModuleExperiment.this::checkTimeLimit);
+                clock.advanceTo(Math.min(to, clock.now() + STEP_MS / 10), ModuleExperiment.this::checkTimeLimit);
             }
         }
     }
@@ -119,8 +119,8 @@
         Load warm = new Load(customers.get(0));
         warm.node.onEndpoints(new EndpointInventory(sizes.get(0), zones).completeList(), true);
         warm.next();
-        while (warm.requests < WARM) {
-            warm.run(STEP, 1);
+        while (warm.requests < WARM_UP_REQUESTS) {
+            warm.run(STEP_MS, 1);
         }
         int few = customers.get(0);
         for (int size : sizes) {
@@ -140,21 +140,26 @@
         EndpointInventory servers = new EndpointInventory(size, zones);
         load.node.onEndpoints(servers.completeList(), true);
         load.next();
-        load.run(2 * STEP, pointSeconds / 4.0);
+        load.run(2 * STEP_MS, pointSeconds / 4.0);
         load.node.measureCpu(load.meter);
         long before = load.requests;
         double since = load.clock.now();
         long calls = load.node.counterCalls;
-        load.run(seconds * STEP, pointSeconds);
-        double lasted = (load.clock.now() - since) / STEP;
-        results.add("module.cpu_us_per_request", x, at, load.meter.take() / Math.max(1, load.requests - before), "us");
+        load.run(seconds * STEP_MS, pointSeconds);
+        double lasted = (load.clock.now() - since) / STEP_MS;
+        results.add(
+                "module.cpu_us_per_request",
+                x,
+                at,
+                load.meter.takeMicros() / Math.max(1, load.requests - before),
+                "us");
         results.add("module.counter_calls_per_s", x, at, (load.node.counterCalls - calls) / lasted, "1/s");
         changes(load, servers, x, at);
     }
 
     /** Servers begin to drain and come back, one a change. */
     private void changes(Load load, EndpointInventory servers, String x, int at) {
-        load.meter.take();
+        load.meter.takeMicros();
         for (int i = 0; i < CHANGES; i++) {
             int server = load.random.nextInt(servers.size());
             for (EndpointState state : List.of(EndpointState.DRAINING, EndpointState.UP)) {
@@ -162,9 +167,9 @@
             }
             checkTimeLimitNow();
         }
-        results.add("module.cpu_us_per_list_change", x, at, load.meter.take() / CHANGES / 2, "us");
+        results.add("module.cpu_us_per_list_change", x, at, load.meter.takeMicros() / CHANGES / 2, "us");
         load.node.onEndpoints(servers.completeList(), true);
-        results.add("module.cpu_us_per_whole_list", x, at, load.meter.take(), "us");
+        results.add("module.cpu_us_per_whole_list", x, at, load.meter.takeMicros(), "us");
     }
 
     /**
@@ -172,7 +177,7 @@
      * is in use without; the middle of three.
      */
     private void memory(int size) {
-        int copies = Math.max(1, Math.min(MODULES_MOST, ENTRIES / size));
+        int copies = Math.max(1, Math.min(MAX_POLICIES, MEMORY_ENTRIES / size));
         double[] told = new double[3];
         for (int round = 0; round < told.length; round++) {
             List<SimulatedNode> kept = new ArrayList<>();
@@ -183,12 +188,12 @@
             }
             long with;
             try {
-                with = used();
+                with = usedHeapBytes();
             } finally {
                 Reference.reachabilityFence(kept);
             }
             kept.clear();
-            told[round] = (with - used()) / (double) copies;
+            told[round] = (with - usedHeapBytes()) / (double) copies;
             checkTimeLimitNow();
         }
         Arrays.sort(told);
@@ -204,19 +209,19 @@
             load.node.onRequest(ScaleSettings.request(
                     i,
                     ScaleSettings.READ,
-                    load.asking.name(i),
+                    load.customers.name(i),
                     Math.min(nodes, ScaleSettings.GATEWAYS_PER_CUSTOMER),
                     0));
         }
         load.clock.advanceTo(load.clock.now() + 2 * ScaleSettings.DEADLINE_MS, this::checkTimeLimit);
         load.peers.forgetTotals();
-        long with = used();
+        long with = usedHeapBytes();
         load.node.kill();
-        results.add("module.memory_bytes", "customers", many, (double) (with - used()), "bytes");
+        results.add("module.memory_bytes", "customers", many, (double) (with - usedHeapBytes()), "bytes");
     }
 
     /** Heap in use after a collection. */
-    private static long used() {
+    private static long usedHeapBytes() {
         Runtime r = Runtime.getRuntime();
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -19,10 +19,10 @@
         description = "CPU, memory and added latency of a real node by servers, load and changes")
 final class NodeExperiment extends Experiment {
     /** Connections, rates and compiled code stand by then (ms). */
-    private static final int SETTLED = 6000;
+    private static final int SETTLE_MS = 6000;
 
-    private static final int STEP = 100;
-    private static final double MS = 1000;
+    private static final int STEP_MS = 100;
+    private static final double MICROS_PER_MS = 1000;
 
     @Mixin
     RepositoryOption repository;
@@ -133,19 +133,19 @@
                 seconds > 0 && nodes > 0 && zones > 0 && service >= 0 && counterRate > 0 && counterDelay >= 0,
                 "--seconds, --nodes, --zones, --service-ms, --counter-per-s and --counter-ms have to be above 0");
         require(serverPort >= 0 && serverPort < 65_536, "--server-port has to be a port");
-        NodeLaunch.run(repository.root()); // told before the first point, not after it
+        NodeLaunch.runLine(repository.root()); // told before the first point, not after it
     }
 
     private void point(String x, int at, int listed, int rate, int asking, int changing) throws Exception {
         showProgress(x + " " + at);
         checkTimeLimitNow();
-        EventLoopGroup peers = StandInLoops.one();
-        EventLoopGroup clients = StandInLoops.one();
+        EventLoopGroup peers = StandInLoops.singleThread();
+        EventLoopGroup clients = StandInLoops.singleThread();
         EndpointInventory all = new EndpointInventory(listed, zones);
         try (EndpointStandIns place = new EndpointStandIns(peers, listed, serverPort, service);
                 CounterStandIn counter = new CounterStandIn(peers, 0, counterRate, counterDelay);
                 DiscoveryStandIn agent = new DiscoveryStandIn(
-                        peers, 0, all, place::dial, new DiscoveryStandIn.ListFormat(torn, indented), seed);
+                        peers, 0, all, place::hostAndPort, new DiscoveryStandIn.ListFormat(torn, indented), seed);
                 RealNode node = RealNode.start(
                         repository.root(),
                         ScaleSettings.keys(0, nodes, zones),
@@ -161,31 +161,31 @@
                     rate,
                     seed);
             results.add("node.ready", x, at, node.readySeconds, "s");
-            results.add("node.list_bytes", x, at, agent.whole().length, "bytes");
+            results.add("node.list_bytes", x, at, agent.completeList().length, "bytes");
             load.start();
             Future<?> ticking = changing == 0 ? null : changes(peers, agent, all, changing);
-            await(node, SETTLED);
-            load.take();
+            await(node, SETTLE_MS);
+            load.takeCounts();
             long calls = counter.calls.get();
-            long bytes = agent.bytes.get();
+            long bytes = agent.bytesSent.get();
             double cpu = node.cpuMicros();
             long from = System.nanoTime();
-            await(node, seconds * (int) MS);
+            await(node, seconds * (int) MICROS_PER_MS);
             double lasted = (System.nanoTime() - from) / 1e9;
             double used = node.cpuMicros() - cpu;
-            LoadDriver.LoadCounts told = load.take();
+            LoadDriver.LoadCounts told = load.takeCounts();
             if (ticking != null) {
                 ticking.cancel(false);
             }
             results.add("node.cpu_us_per_s", x, at, used / lasted, "us/s");
-            results.add("node.cpu_us_per_request", x, at, used / Math.max(1, told.asked()), "us");
-            results.add("node.rss_mb", x, at, node.rss(), "MB");
-            results.add("node.descriptors", x, at, (double) node.descriptors(), "descriptors");
+            results.add("node.cpu_us_per_request", x, at, used / Math.max(1, told.sent()), "us");
+            results.add("node.rss_mb", x, at, node.residentMemoryMb(), "MB");
+            results.add("node.descriptors", x, at, (double) node.openDescriptors(), "descriptors");
             results.add("node.server_connections", x, at, place.connections(), "connections");
             results.add("node.counter_calls_per_s", x, at, (counter.calls.get() - calls) / lasted, "1/s");
-            results.add("node.discovery_bytes_per_s", x, at, (agent.bytes.get() - bytes) / lasted, "bytes/s");
-            results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.asked()), "share");
-            latency("node.added", x, at, told.added());
+            results.add("node.discovery_bytes_per_s", x, at, (agent.bytesSent.get() - bytes) / lasted, "bytes/s");
+            results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.sent()), "share");
+            latency("node.added", x, at, told.addedLatency());
             load.stop();
         } catch (RealNode.NodeNotReadyException e) {
             System.err.println(x + " " + at + ": " + e.getMessage());
@@ -200,9 +200,9 @@
         if (told.getTotalCount() == 0) {
             return; // nothing was served: no time to tell
         }
-        results.add(metric + "_mean", x, at, told.getMean() / MS, "ms");
+        results.add(metric + "_mean", x, at, told.getMean() / MICROS_PER_MS, "ms");
         for (double p : new double[] {50, 99, 99.9}) {
-            results.add(metric + "_p" + Results.number(p), x, at, told.getValueAtPercentile(p) / MS, "ms");
+            results.add(metric + "_p" + Results.number(p), x, at, told.getValueAtPercentile(p) / MICROS_PER_MS, "ms");
         }
     }
 
@@ -223,10 +223,10 @@
     }
 
     private void await(RealNode node, int milliseconds) throws InterruptedException {
-        for (int left = milliseconds; left > 0; left -= STEP) {
-            Thread.sleep(STEP);
+        for (int left = milliseconds; left > 0; left -= STEP_MS) {
+            Thread.sleep(STEP_MS);
             checkTimeLimitNow();
-            require(node.alive(), "the edge node has ended: " + node.log());
+            require(node.isAlive(), "the edge node has ended: " + node.firstLogLine());
         }
     }
 }
--- a/src/main/java/quotagateway/scale/NodeLaunch.java
+++ b/src/main/java/quotagateway/scale/NodeLaunch.java
@@ -26,11 +26,11 @@
 
     /** The shell's command that ends in the node's process; root is the repository's folder, built. */
     public static List<String> command(Path root) throws IOException {
-        return List.of("/bin/sh", "-c", "ulimit -n " + SOCKETS + "; " + run(root));
+        return List.of("/bin/sh", "-c", "ulimit -n " + SOCKETS + "; " + runLine(root));
     }
 
     /** The deploy file's run line. */
-    static String run(Path root) throws IOException {
+    static String runLine(Path root) throws IOException {
         Path deploy = root.resolve(DEPLOY);
         if (!Files.isReadable(deploy)) {
             throw new RunNotPossibleException(
--- a/src/main/java/quotagateway/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -13,7 +13,7 @@
         mixinStandardHelpOptions = true,
         description = "The sums that cold servers get of all hollow nodes, over every window of the settings")
 final class RampExperiment extends SimulatedFleetExperiment {
-    private static final double SETTLED = 6000;
+    private static final double SETTLE_MS = 6000;
 
     @Option(
             names = "--part",
@@ -34,7 +34,7 @@
 
     @Override
     void measurePoint(int size) {
-        SimulatedFleet fleet = startFleet(size, SETTLED);
+        SimulatedFleet fleet = startFleet(size, SETTLE_MS);
         long[] before = new long[fleet.endpoints.length];
         List<EndpointDescriptor> entries = new ArrayList<>();
         int cold = (int) Math.max(1, part * fleet.endpoints.length);
@@ -53,11 +53,11 @@
             fleet.restart(fleet.nodes[i], 1000, entries);
         }
         run(fleet, ScaleSettings.SLOW_START_DURATION_MS - options.maxNoticeDelayMs());
-        tell(fleet, size, before, began + options.maxNoticeDelayMs());
+        addResults(fleet, size, before, began + options.maxNoticeDelayMs());
     }
 
     /** The fullest window of each server that was cold, of those in which all nodes knew. */
-    private void tell(SimulatedFleet fleet, int size, long[] before, double told) {
+    private void addResults(SimulatedFleet fleet, int size, long[] before, double told) {
         double worst = 0;
         double mean = 0;
         int over = 0;
@@ -72,7 +72,7 @@
             }
             cold++;
             coldGot += host.attemptsReceived - before[i];
-            double[] sums = fullest(host, told);
+            double[] sums = fullestWindow(host, told);
             worst = Math.max(worst, sums[0]);
             mean += sums[0];
             over += sums[1] > 0 ? 1 : 0;
@@ -89,7 +89,7 @@
     }
 
     /** The most of its budget that a window had, and by how much one went beyond budget and chance. */
-    private static double[] fullest(SimulatedEndpoint host, double told) {
+    private static double[] fullestWindow(SimulatedEndpoint host, double told) {
         double[] times = host.attemptTimesSinceRestart.stream()
                 .mapToDouble(t -> t)
                 .filter(t -> t >= told)
--- a/src/main/java/quotagateway/scale/RealNode.java
+++ b/src/main/java/quotagateway/scale/RealNode.java
@@ -19,7 +19,7 @@
 
 /** A real edge node: the process that the deploy file's run line starts, and what the system tells of it. */
 final class RealNode implements AutoCloseable {
-    private static final Pattern KB = Pattern.compile("\\d+");
+    private static final Pattern NUMBER = Pattern.compile("\\d+");
     private static final int READY_SECONDS = 30;
     private static final int END_SECONDS = 6;
 
@@ -67,16 +67,16 @@
         Process process = builder.start();
         RealNode node = new RealNode(process, folder, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         Runtime.getRuntime().addShutdownHook(new Thread(node::kill)); // SIGINT ends it too
-        node.whenReady();
+        node.awaitReady();
         node.readySeconds = (System.nanoTime() - from) / 1e9;
         return node;
     }
 
-    private void whenReady() throws IOException, InterruptedException {
+    private void awaitReady() throws IOException, InterruptedException {
         long end = System.nanoTime() + READY_SECONDS * 1_000_000_000L;
         while (System.nanoTime() < end) {
             if (!process.isAlive()) {
-                String told = log();
+                String told = firstLogLine();
                 close();
                 throw new RunNotPossibleException("the edge node has ended at once: " + told);
             }
@@ -97,12 +97,12 @@
         throw new NodeNotReadyException("the edge node is not ready within " + READY_SECONDS + " s");
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
     /** The first line of what it has written. */
-    String log() {
+    String firstLogLine() {
         try (Stream<String> lines = Files.lines(folder.resolve("log"), StandardCharsets.ISO_8859_1)) {
             return lines.findFirst().orElse("no word");
         } catch (IOException e) {
@@ -128,9 +128,9 @@
     }
 
     /** Memory that it holds (MB). */
-    double rss() throws IOException {
+    double residentMemoryMb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
-            Matcher kb = KB.matcher(line);
+            Matcher kb = NUMBER.matcher(line);
             if (line.startsWith("VmRSS:") && kb.find()) {
                 return Double.parseDouble(kb.group()) / 1024;
             }
@@ -139,7 +139,7 @@
     }
 
     /** Descriptors that it holds. */
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return all.count();
         }
--- a/src/main/java/quotagateway/scale/RegionsExperiment.java
+++ b/src/main/java/quotagateway/scale/RegionsExperiment.java
@@ -9,7 +9,7 @@
         mixinStandardHelpOptions = true,
         description = "What is served while regions are apart, and after they meet again")
 final class RegionsExperiment extends SimulatedFleetExperiment {
-    private static final double SETTLED = 8000;
+    private static final double SETTLE_MS = 8000;
 
     @Option(
             names = "--seconds",
@@ -25,15 +25,15 @@
 
     @Override
     void measurePoint(int size) {
-        SimulatedFleet fleet = startFleet(size, SETTLED);
-        part(fleet, size, "regions.before");
+        SimulatedFleet fleet = startFleet(size, SETTLE_MS);
+        measurePhase(fleet, size, "regions.before");
         fleet.setRegionsPartitioned(true);
-        part(fleet, size, "regions.apart");
+        measurePhase(fleet, size, "regions.apart");
         fleet.setRegionsPartitioned(false);
-        part(fleet, size, "regions.after");
+        measurePhase(fleet, size, "regions.after");
     }
 
-    private void part(SimulatedFleet fleet, int size, String metric) {
+    private void measurePhase(SimulatedFleet fleet, int size, String metric) {
         long served = fleet.served();
         long ended = fleet.ended();
         long calls = fleet.counter.calls;
--- a/src/main/java/quotagateway/scale/RespStandInHandler.java
+++ b/src/main/java/quotagateway/scale/RespStandInHandler.java
@@ -11,7 +11,7 @@
 
 /** One RESP connection of a stand-in: commands are begun as they come and answered in their order. */
 public abstract class RespStandInHandler extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<String[]> owed = new ArrayDeque<>();
+    private final ArrayDeque<String[]> pendingResponses = new ArrayDeque<>();
 
     /** Takes a command; answers on the loop, now or later, or never. */
     public abstract void command(ChannelHandlerContext ctx, List<String> words, Consumer<String> answer);
@@ -21,7 +21,7 @@
         List<String> words = StandInLoops.words(message);
         ReferenceCountUtil.release(message);
         String[] slot = new String[1];
-        owed.add(slot);
+        pendingResponses.add(slot);
         if (words.isEmpty()) {
             answer(ctx, slot, "-ERR no command\r\n");
         } else if (words.get(0).equals("CLIENT") || words.get(0).equals("SELECT")) {
@@ -35,8 +35,8 @@
 
     private void answer(ChannelHandlerContext ctx, String[] slot, String text) {
         slot[0] = text;
-        while (!owed.isEmpty() && owed.peek()[0] != null) {
-            ctx.write(ByteBufUtil.writeAscii(ctx.alloc(), owed.poll()[0]));
+        while (!pendingResponses.isEmpty() && pendingResponses.peek()[0] != null) {
+            ctx.write(ByteBufUtil.writeAscii(ctx.alloc(), pendingResponses.poll()[0]));
         }
         ctx.flush();
     }
--- a/src/main/java/quotagateway/scale/StandInLoops.java
+++ b/src/main/java/quotagateway/scale/StandInLoops.java
@@ -29,13 +29,13 @@
 public final class StandInLoops {
     private static final int BACKLOG = 1024;
     /** More than any message of the protocol has. */
-    private static final int ELEMENTS = 16;
+    private static final int MAX_ELEMENTS = 16;
 
-    private static final int DEPTH = 4;
+    private static final int MAX_DEPTH = 4;
 
     private StandInLoops() {}
 
-    public static EventLoopGroup one() {
+    public static EventLoopGroup singleThread() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
@@ -89,7 +89,9 @@
     /** Whole RESP messages. */
     public static List<ChannelHandler> resp() {
         return new ArrayList<>(List.of(
-                new RedisDecoder(), new RedisBulkStringAggregator(), new RedisArrayAggregator(ELEMENTS, DEPTH)));
+                new RedisDecoder(),
+                new RedisBulkStringAggregator(),
+                new RedisArrayAggregator(MAX_ELEMENTS, MAX_DEPTH)));
     }
 
     /** The words of a command; empty where it is no array of bulk strings. */
--- a/src/main/java/quotagateway/scale/ZoneLossExperiment.java
+++ b/src/main/java/quotagateway/scale/ZoneLossExperiment.java
@@ -13,12 +13,12 @@
         mixinStandardHelpOptions = true,
         description = "Time until as much is served as before, after a zone's loss and after its return")
 final class ZoneLossExperiment extends SimulatedFleetExperiment {
-    private static final double SETTLED = 8000;
-    private static final double WINDOW = 500;
+    private static final double SETTLE_MS = 8000;
+    private static final double WINDOW_MS = 500;
     /** So much of what was served before, in so many windows in a row, is back. */
-    private static final double BACK = 0.99;
+    private static final double RECOVERED_SHARE = 0.99;
 
-    private static final int IN_A_ROW = 3;
+    private static final int RECOVERED_WINDOWS = 3;
 
     @Option(
             names = "--seconds",
@@ -38,12 +38,12 @@
 
     @Override
     void measurePoint(int size) {
-        SimulatedFleet fleet = startFleet(size, SETTLED);
+        SimulatedFleet fleet = startFleet(size, SETTLE_MS);
         fleet.setDiscoverySilent(quiet);
-        double usual = share(fleet, 4 * WINDOW);
-        long zoneBefore = zoneGot(fleet);
-        run(fleet, 4 * WINDOW);
-        double zoneUsual = (zoneGot(fleet) - zoneBefore) / 4.0;
+        double usual = servedShare(fleet, 4 * WINDOW_MS);
+        long zoneBefore = zoneAttempts(fleet);
+        run(fleet, 4 * WINDOW_MS);
+        double zoneUsual = (zoneAttempts(fleet) - zoneBefore) / 4.0;
         List<EndpointDescriptor> gone = new ArrayList<>();
         for (int i = 0; i < fleet.endpoints.length; i++) {
             if (fleet.inventory.zone(i) == 0) {
@@ -53,7 +53,7 @@
         }
         fleet.announceChange(gone);
         watch(fleet, size, "loss", usual);
-        results.add("zone.kept_after_loss_least", "nodes", size, leastKept(fleet), "servers");
+        results.add("zone.kept_after_loss_least", "nodes", size, fewestEndpointsRetained(fleet), "servers");
         List<EndpointDescriptor> back = new ArrayList<>();
         for (EndpointDescriptor s : gone) {
             int server = EndpointInventory.numberOf(s.id());
@@ -61,13 +61,13 @@
             back.add(fleet.inventory.descriptor(server, EndpointState.UP, fleet.clock.now()));
         }
         fleet.announceChange(back);
-        long got = zoneGot(fleet);
+        long got = zoneAttempts(fleet);
         watch(fleet, size, "return", usual);
         results.add(
                 "zone.load_after_return",
                 "nodes",
                 size,
-                (zoneGot(fleet) - got) / (seconds * 1000 / WINDOW) / Math.max(1, zoneUsual),
+                (zoneAttempts(fleet) - got) / (seconds * 1000 / WINDOW_MS) / Math.max(1, zoneUsual),
                 "share");
     }
 
@@ -76,21 +76,21 @@
         double least = 1;
         double back = seconds * 1000.0;
         int good = 0;
-        for (int i = 0; i < seconds * 1000 / WINDOW; i++) {
-            double share = share(fleet, WINDOW);
+        for (int i = 0; i < seconds * 1000 / WINDOW_MS; i++) {
+            double share = servedShare(fleet, WINDOW_MS);
             least = Math.min(least, share);
-            good = share >= BACK * usual ? good + 1 : 0;
-            if (share < BACK * usual) {
+            good = share >= RECOVERED_SHARE * usual ? good + 1 : 0;
+            if (share < RECOVERED_SHARE * usual) {
                 back = seconds * 1000.0;
-            } else if (good == IN_A_ROW) {
-                back = Math.min(back, (i + 1 - IN_A_ROW) * WINDOW);
+            } else if (good == RECOVERED_WINDOWS) {
+                back = Math.min(back, (i + 1 - RECOVERED_WINDOWS) * WINDOW_MS);
             }
         }
         results.add("zone." + what + "_served_least", "nodes", size, least, "share");
         results.add("zone." + what + "_time_back", "nodes", size, back, "ms");
     }
 
-    private double share(SimulatedFleet fleet, double window) {
+    private double servedShare(SimulatedFleet fleet, double window) {
         long served = fleet.served();
         long ended = fleet.ended();
         run(fleet, window);
@@ -98,7 +98,7 @@
     }
 
     /** Servers that are up, in the set of the node that has fewest. */
-    private static int leastKept(SimulatedFleet fleet) {
+    private static int fewestEndpointsRetained(SimulatedFleet fleet) {
         int least = Integer.MAX_VALUE;
         for (SimulatedNode node : fleet.nodes) {
             least = (int) Math.min(
@@ -110,7 +110,7 @@
         return least;
     }
 
-    private static long zoneGot(SimulatedFleet fleet) {
+    private static long zoneAttempts(SimulatedFleet fleet) {
         long sum = 0;
         for (int i = 0; i < fleet.endpoints.length; i++) {
             sum += fleet.inventory.zone(i) == 0 ? fleet.endpoints[i].attemptsReceived : 0;
--- a/src/main/java/quotagateway/scale/soak/SoakRun.java
+++ b/src/main/java/quotagateway/scale/soak/SoakRun.java
@@ -70,8 +70,8 @@
 
     /** Runs the soak once; all processes and listeners have ended when it returns. */
     SoakReport run(long seed) throws Exception {
-        EventLoopGroup standIns = StandInLoops.one();
-        EventLoopGroup load = StandInLoops.one();
+        EventLoopGroup standIns = StandInLoops.singleThread();
+        EventLoopGroup load = StandInLoops.singleThread();
         lag.measure(standIns);
         lag.measure(load);
         try {
@@ -100,7 +100,7 @@
         CounterStandIn counter = closedAtEnd(new CounterStandIn(standIns, 0, COUNTER_PER_SECOND, 1));
         List<FaultProxy> discoveryProxies = proxies(discovery.port());
         List<FaultProxy> counterProxies = proxies(counter.port());
-        String knownList = new String(discovery.whole(), StandardCharsets.US_ASCII);
+        String knownList = new String(discovery.completeList(), StandardCharsets.US_ASCII);
         NodeSlot.Platform platform = new NodeSlot.Platform(
                 clock, root, folder, settings, knownList, discoveryProxies, counterProxies, this::fault);
         for (int i = 0; i < size.nodes; i++) {
--- a/src/test/java/quotagateway/scale/StandInTest.java
+++ b/src/test/java/quotagateway/scale/StandInTest.java
@@ -20,7 +20,7 @@
 /** The stand-ins speak as the protocol page says. */
 @Timeout(30)
 class StandInTest {
-    private final EventLoopGroup group = StandInLoops.one();
+    private final EventLoopGroup group = StandInLoops.singleThread();
 
     /** A connection to a stand-in; what comes is read by the line or as text. */
     private static final class Line implements AutoCloseable {
@@ -138,9 +138,9 @@
                 Line watch = to(agent.port())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nhost: a\r\n\r\n");
             watch.until("]}");
-            agent.silence(true);
+            agent.setSilent(true);
             agent.change(Set.of(1), EndpointState.REMOVED, 0);
-            agent.silence(false);
+            agent.setSilent(false);
             agent.change(Set.of(0), EndpointState.DRAINING, 0);
             String next = watch.until("]}");
             assertTrue(next.endsWith("{\"seq\":3,\"whole\":false,\"hosts\":[" + entry(0, "leaving") + "]}"), next);
@@ -167,12 +167,12 @@
     void endpointsShareAListenerAndDifferByAddress() throws Exception {
         String list = "c=read,t=p,d=200,units=1,spread=1,first=0";
         try (EndpointStandIns place = new EndpointStandIns(group, 300, 0, 0)) {
-            assertEquals("127.16.1.4:" + place.port(), place.dial(260));
+            assertEquals("127.16.1.4:" + place.port(), place.hostAndPort(260));
             try (Line line = new Line(EndpointStandIns.address(260), place.port())) {
                 line.write(StandInLoops.command("CALL.GET", "00000000b4d65521", "1", list));
                 assertEquals("*3", line.line());
                 assertTrue(line.until("$-1\r\n$-1\r\n").contains("held="));
-                assertEquals(1, place.open.get(260));
+                assertEquals(1, place.openConnections.get(260));
                 line.write(StandInLoops.command("CALL.GET", "00000000b4d65521", "1", "d=soon")
                         + StandInLoops.command("INFO", "load")
                         + StandInLoops.command("CLIENT", "ID")
@@ -181,7 +181,7 @@
                         "-SYNTAX -NOPERM +OK -ERR unknown command",
                         line.line() + ' ' + line.line() + ' ' + line.line() + ' ' + line.line());
             }
-            assertEquals(1, place.got.get(260));
+            assertEquals(1, place.requestsReceived.get(260));
             try (Line other = new Line(EndpointStandIns.address(300), place.port())) {
                 assertEquals(-1, other.in.read(), "no server has this address");
             }
