--- a/src/main/java/quotagateway/scale/EndpointInventory.java
+++ b/src/main/java/quotagateway/scale/EndpointInventory.java
@@ -5,9 +5,9 @@
 import quotagateway.policy.api.EndpointDescriptor;
 import quotagateway.policy.api.EndpointState;
 
-/** The place servers of a run, by number: names, zones and cells are made once and shared by all nodes. */
+/** The endpoints of a run by number: ids, zones and cells, made once and shared by all nodes. */
 public final class EndpointInventory {
-    /** Few servers drop each other's repeats: a cell is a rack's worth at most. */
+    /** Only a few endpoints recognise each other's idempotency keys: a cell is about a rack. */
     private static final int ENDPOINTS_PER_CELL = 8;
 
     private final String[] names;
--- a/src/main/java/quotagateway/scale/EndpointStandIns.java
+++ b/src/main/java/quotagateway/scale/EndpointStandIns.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * Place servers by the hundred thousand: hollow ones, each an address of 127/8, before one listener. Their
- * answer tells how long they held the request, so that a client can tell what came on top.
+ * Stand-ins for up to hundreds of thousands of endpoints on one listener, told apart by {@link LoopbackAddresses}. A
+ * response says how long the request was held, so that the client can tell what the node added.
  */
 final class EndpointStandIns implements AutoCloseable {
     /** From 127.16.0.0 on: away from the addresses that a machine uses itself. */
--- a/src/main/java/quotagateway/scale/LoadDriver.java
+++ b/src/main/java/quotagateway/scale/LoadDriver.java
@@ -19,8 +19,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients: an open loop by one seed. A request's time counts from when it was to be sent, also where all
- * connections were busy or this loop was late, so a slow node cannot slow its own load down.
+ * Clients that load real nodes in an open loop. The latency of a request counts from when it was due, also where all
+ * connections were busy or this loop was late: a slow node cannot reduce its own load.
  */
 final class LoadDriver {
     /** Clients have up to a third of a node's descriptors. */
@@ -42,7 +42,11 @@
         }
     }
 
-    /** What has become of the requests since the last time. */
+    /**
+     * What became of the requests of a time.
+     *
+     * @param addedLatency latency of served requests without the endpoint's time (us)
+     */
     record LoadCounts(long sent, long served, long rejected, long failed, Histogram addedLatency) {}
 
     private final EventLoopGroup group;
@@ -60,18 +64,24 @@
     private long failed;
     private Histogram addedLatency = new Histogram(3);
 
-    /** The nodes may be the first of a larger fleet: the sets of their customers are then of that size. */
+    /**
+     * A load that has not started.
+     *
+     * @param nodes where the nodes listen
+     * @param nodeCount size of the fleet by the nodes' settings, which may be larger than the list of nodes
+     * @param requestsPerSecond at all nodes together
+     */
     LoadDriver(
             EventLoopGroup group,
             List<InetSocketAddress> nodes,
-            int fleet,
+            int nodeCount,
             CustomerPopulation customers,
-            double rate,
+            double requestsPerSecond,
             long seed) {
-        this.nodeCount = fleet;
+        this.nodeCount = nodeCount;
         this.group = group;
         this.customers = customers;
-        this.requestsPerSecond = rate;
+        this.requestsPerSecond = requestsPerSecond;
         random = new SplittableRandom(seed);
         targets = nodes.stream().map(Target::new).toList();
     }
@@ -102,7 +112,7 @@
                 .get();
     }
 
-    /** All that are due by now go; the next time is by the plan, not by when this ran. */
+    /** Sends all requests that are due; the times of the next ones do not depend on when this runs. */
     private void sendDueRequests() {
         while (!stopped && nextDueNanos <= System.nanoTime()) {
             sendRequest((long) nextDueNanos);
@@ -113,28 +123,21 @@
         }
     }
 
-    private void sendRequest(long intended) {
+    private void sendRequest(long dueNanos) {
         int customer = customers.pick(random);
         boolean all = targets.size() == nodeCount;
         int first = all ? CustomerPopulation.firstNode(customer, nodeCount) : 0;
-        int spread = Math.min(nodeCount, ScaleSettings.GATEWAYS_PER_CUSTOMER);
-        Target target = targets.get((first + random.nextInt(spread)) % targets.size());
-        String type = ScaleSettings.requestClass(random.nextDouble());
-        String id = String.format("%016x", ++lastRequestNumber);
-        String list = "c=" + type + ",t=" + ScaleSettings.PLAN + ",d=" + Math.round(ScaleSettings.DEADLINE_MS)
-                + (type.equals(ScaleSettings.KEYED) ? ",k=" + id : "") + ",units=1,spread=" + spread + ",first="
-                + first;
-        String command = type.equals(ScaleSettings.READ)
-                ? StandInLoops.command("CALL.GET", customers.name(customer), id, list)
-                : StandInLoops.command("CALL.POST", customers.name(customer), id, list, "body");
+        int gatewayCount = Math.min(nodeCount, ScaleSettings.GATEWAYS_PER_CUSTOMER);
+        Target target = targets.get((first + random.nextInt(gatewayCount)) % targets.size());
+        String command = command(customers.name(customer), gatewayCount, first);
         sent++;
-        ScheduledRequest a = new ScheduledRequest(target, command, intended);
+        ScheduledRequest request = new ScheduledRequest(target, command, dueNanos);
         Channel idle = target.idleConnections.poll();
         if (idle != null) {
-            send(idle, a);
+            send(idle, request);
             return;
         }
-        target.waitingRequests.add(a);
+        target.waitingRequests.add(request);
         if (target.connectionCount < MAX_CONNECTIONS_PER_NODE) {
             target.connectionCount++;
             StandInLoops.connect(
@@ -152,7 +155,19 @@
         }
     }
 
-    /** The one that has waited longest goes without. */
+    private String command(String customer, int gatewayCount, int firstGateway) {
+        String requestClass = ScaleSettings.requestClass(random.nextDouble());
+        String id = String.format("%016x", ++lastRequestNumber);
+        String fields = "c=" + requestClass + ",t=" + ScaleSettings.PLAN + ",d="
+                + Math.round(ScaleSettings.DEADLINE_MS)
+                + (requestClass.equals(ScaleSettings.KEYED) ? ",k=" + id : "")
+                + ",units=1,spread=" + gatewayCount + ",first=" + firstGateway;
+        return requestClass.equals(ScaleSettings.READ)
+                ? StandInLoops.command("CALL.GET", customer, id, fields)
+                : StandInLoops.command("CALL.POST", customer, id, fields, "body");
+    }
+
+    /** Fails the request that has waited longest for a connection. */
     private void failWaiting(Target target) {
         if (target.waitingRequests.poll() != null) {
             failed++;
--- a/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** An experiment on fleets of hollow nodes, a point for each size. */
+/** An experiment on simulated fleets that measures one point for each number of nodes. */
 abstract class SimulatedFleetExperiment extends Experiment {
     private static final double STEP_MS = 100;
 
@@ -18,9 +18,10 @@
             description = "hollow nodes, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
+    /** Measures a fleet of this size and adds the results. */
     abstract void measurePoint(int size) throws Exception;
 
-    /** What is wrong with the options. */
+    /** Refuses options of the experiment that make no sense. */
     abstract void checkOptions();
 
     @Override
@@ -33,13 +34,15 @@
         }
     }
 
-    SimulatedFleet startFleet(int size, double settled) {
+    /** A fleet that has run for a time (virtual ms). */
+    SimulatedFleet startFleet(int size, double settleMs) {
         SimulatedFleet fleet = new SimulatedFleet(options, size, seed, this::checkTimeLimit);
         fleet.start();
-        run(fleet, settled);
+        run(fleet, settleMs);
         return fleet;
     }
 
+    /** Runs a fleet on, within the time limit. */
     void run(SimulatedFleet fleet, double milliseconds) {
         for (double left = milliseconds; left > 0; left -= STEP_MS) {
             fleet.run(Math.min(STEP_MS, left));
--- a/src/main/java/quotagateway/scale/soak/ClientRequest.java
+++ b/src/main/java/quotagateway/scale/soak/ClientRequest.java
@@ -11,15 +11,15 @@
         SERVED,
         REFUSED,
         FAILED,
-        /** A value that no place server made for this request. */
+        /** Served with a value that no endpoint made for this request. */
         WRONG_VALUE,
-        /** The node ended the connection, or reset it, before a whole answer. */
+        /** The node closed or reset the connection before the response was complete. */
         CONNECTION_ENDED,
         /** The client closed its connection while it waited. */
         CLIENT_LEFT,
-        /** Nothing came, long after its time. */
+        /** No response came until long after its timeout. */
         NO_ANSWER,
-        /** It never went out whole: its connection could not be made, or ended first. */
+        /** It was never written completely, as its connection ended first. */
         NOT_SENT
     }
 
@@ -34,11 +34,11 @@
     double sentAt = Double.POSITIVE_INFINITY;
 
     double endedAt = Double.POSITIVE_INFINITY;
-    /** When the answers before it on its connection were there; its time counts from its own sending. */
+    /** When the responses to all earlier requests of its connection had come. */
     double firstInLineAt;
 
     End end = End.OPEN;
-    /** What it was told, where it was not served. */
+    /** The response, or how the connection ended. */
     String response = "";
 
     ClientRequest(String id, int node, int process, RequestClass type, double patience) {
--- a/src/main/java/quotagateway/scale/soak/Execution.java
+++ b/src/main/java/quotagateway/scale/soak/Execution.java
@@ -1,16 +1,16 @@
 package quotagateway.scale.soak;
 
-/** One attempt as a place server saw it; times are milliseconds of the run. */
+/** One attempt as an endpoint saw it; times are milliseconds of the run. */
 final class Execution {
     final String request;
     final int endpoint;
-    /** When its last byte had come. */
+    /** When its last byte arrived. */
     final double startedAt;
-    /** What it said its client would still wait. */
+    /** How long its client will still wait, by the attempt itself. */
     final double statedTimeout;
-    /** Whether the work was done, or may have been: a refusal is none. */
+    /** Whether the request was or may have been executed; false for a rejection. */
     final boolean mayHaveRun;
-    /** When it was answered, or its connection ended; infinite while it is out. */
+    /** When it was responded to or its connection ended; infinite while it is in flight. */
     volatile double endedAt = Double.POSITIVE_INFINITY;
 
     Execution(String request, int server, double began, double patience, boolean ran) {
--- a/src/main/java/quotagateway/scale/soak/FaultyEndpoints.java
+++ b/src/main/java/quotagateway/scale/soak/FaultyEndpoints.java
@@ -25,8 +25,8 @@
 import quotagateway.scale.StandInLoops;
 
 /**
- * Place servers that misbehave on demand, and keep a record of each attempt. Each has an address of 127/8 of
- * its own before one listener.
+ * Endpoints that misbehave on demand and keep a record of each attempt. All share one listener and are told apart by
+ * {@link LoopbackAddresses}.
  */
 final class FaultyEndpoints implements AutoCloseable {
     /** How a server behaves, from its next request or connection on. */
--- a/src/main/java/quotagateway/scale/soak/NodeSlot.java
+++ b/src/main/java/quotagateway/scale/soak/NodeSlot.java
@@ -15,8 +15,8 @@
 import quotagateway.scale.NodeLaunch;
 
 /**
- * The place of one edge node: its address and folder, and the processes that take it in turn. Restarts,
- * upgrades and kills of one node exclude each other; what comes meanwhile is left out.
+ * One node of the soak: its address and folder, and the processes that run there one after another. Restarts, upgrades,
+ * kills and reloads of a node exclude each other; one that comes during another is skipped.
  */
 final class NodeSlot implements AutoCloseable {
     /** New connections go on coming for so long (ms) after SIGTERM. */
@@ -26,18 +26,26 @@
     private static final long POLL_INTERVAL_MS = 5;
     private static final long DOWN_TIME_MS = 200;
 
-    /** What all nodes have in common. */
+    /**
+     * What all nodes have in common.
+     *
+     * @param root folder of the built repository
+     * @param folder where each node has a folder of its own
+     * @param knownList the endpoint list that each node starts with, as JSON
+     * @param discovery proxies before discovery; a reload moves a node to the next one
+     * @param counter proxies before the shared counter, in the same order
+     */
     record Platform(
             RunClock clock,
             Path root,
             Path folder,
             SoakSettings settings,
-            String known,
+            String knownList,
             List<FaultProxy> discovery,
             List<FaultProxy> counter,
             FaultListener faults) {}
 
-    /** Told of what no fault of the run explains. */
+    /** Hears of faults that no fault of the run explains. */
     interface FaultListener {
         void fault(String rule, String what);
     }
@@ -73,11 +81,12 @@
         return address;
     }
 
-    /** Run as its process is told to end. */
-    void whenTerminated(Runnable what) {
-        whenTerminated = what;
+    /** Sets what is run each time a process of this node gets SIGTERM. */
+    void whenTerminated(Runnable action) {
+        whenTerminated = action;
     }
 
+    /** Whether clients make new connections at present. */
     boolean mayConnect() {
         return platform.clock.now() < connectsUntil;
     }
@@ -87,6 +96,7 @@
         return lifetime == null ? 0 : lifetime.number;
     }
 
+    /** All processes so far, in the order of their starts. */
     synchronized List<ProcessLifetime> lifetimes() {
         return List.copyOf(lifetimes);
     }
@@ -104,7 +114,11 @@
         Files.writeString(
                 next,
                 NodeLaunch.configuration(
-                        "n" + number, addresses(), random.nextLong(), platform.known, platform.settings.keys(number)));
+                        "n" + number,
+                        addresses(),
+                        random.nextLong(),
+                        platform.knownList,
+                        platform.settings.keys(number)));
         return Files.move(
                 next,
                 config,
@@ -112,7 +126,7 @@
                 java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Starts a process; it is the node's own from here on. */
+    /** Starts a process, which is the current one from here on; signals go to it. */
     private void launch(boolean emptyFolder) throws IOException {
         Path temporary = folder.resolve("tmp");
         if (emptyFolder) {
@@ -165,7 +179,7 @@
         }
     }
 
-    /** SIGTERM, SIGKILL at the earliest time that the protocol allows, and a start. */
+    /** Ends the process by SIGTERM, and SIGKILL at the earliest time that the protocol allows; then starts a new one. */
     void restart() throws IOException, InterruptedException {
         exclusively(() -> {
             terminate(current, lifetime, true);
@@ -175,7 +189,7 @@
         });
     }
 
-    /** SIGKILL with no word, and a start. */
+    /** Ends the process by SIGKILL without SIGTERM; then starts a new one. */
     void kill() throws IOException, InterruptedException {
         exclusively(() -> {
             lifetime.killedAt = platform.clock.now();
@@ -189,7 +203,7 @@
         });
     }
 
-    /** A second process beside the first, which ends when the second one listens. */
+    /** Starts a second process beside the first, and ends the first one once the second listens. */
     void upgrade() throws IOException, InterruptedException {
         exclusively(() -> {
             NodeProcess before = current;
@@ -238,7 +252,7 @@
         }
     }
 
-    /** The configuration names other addresses of discovery and the counter, and the node is told. */
+    /** Changes the addresses of discovery and the counter in the configuration, and sends SIGHUP. */
     void hangup() throws IOException, InterruptedException {
         exclusively(() -> {
             proxyIndex = (proxyIndex + 1) % platform.discovery.size();
@@ -247,7 +261,7 @@
         });
     }
 
-    /** Holds the process up for so long (ms). */
+    /** Stops the process for a time and lets it go on. */
     void pause(long milliseconds) throws InterruptedException {
         NodeProcess process = current;
         process.signal(NodeProcess.Signal.STOP);
@@ -255,7 +269,7 @@
         process.signal(NodeProcess.Signal.CONT);
     }
 
-    /** The end of the run: a planned end like any other, with no start behind it. */
+    /** Ends the process at the end of the run, as a restart does. */
     void finish() throws InterruptedException {
         changeLock.lock();
         try {
@@ -265,7 +279,7 @@
         }
     }
 
-    /** All that its processes have written. */
+    /** Everything that the processes of this node have written. */
     String log() throws IOException {
         return current == null ? "" : current.log();
     }
