--- a/src/main/java/quotagateway/scale/capacity/CapacityModel.java
+++ b/src/main/java/quotagateway/scale/capacity/CapacityModel.java
@@ -8,17 +8,12 @@
 import java.util.Set;
 
 /**
- * The sizes, budgets, assumptions and rows of the page, read from its file and reckoned with what has been
- * measured. A formula is a sum of products over names, numbers, {@code form.NAME} (bytes of a sample
- * message), {@code metric[x]} (a slope), {@code metric[x=NAME]} (the fit at that size) and
- * {@code metric[x@NAME]} (the point that was measured there, or at the {@code largest} size), all in bytes
- * and seconds.
+ * The sizes, budgets, assumptions and rows of the capacity page, read from its model file, each figure computed by its
+ * formula from what has been measured.
  */
 final class CapacityModel {
     private static final Set<String> KINDS = Set.of("size", "budget", "assumption", "code", "derived");
     private static final Set<String> STATES = Set.of("present", "made here", "missing");
-    private static final String FORM = "form.";
-    private static final String LARGEST = "largest";
     private static final Map<String, Double> UNITS =
             Map.of("ns", 1e-9, "us", 1e-6, "ms", 1e-3, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
@@ -62,9 +57,11 @@
     private final List<CrossCheck> checks = new ArrayList<>();
     private final Map<String, String> forms = Messages.samples();
     private final Measurements measurements;
+    private final FormulaEvaluator formulas;
 
     private CapacityModel(Measurements measurements) {
         this.measurements = measurements;
+        formulas = new FormulaEvaluator(quantities, forms, measurements);
     }
 
     static CapacityModel read(Path file, Measurements measurements) {
@@ -122,7 +119,7 @@
         String formula = "";
         if (kind.equals("derived")) {
             formula = is.text();
-            figure = reckon(formula, is.at());
+            figure = formulas.evaluate(formula, is.at());
         } else {
             boolean given = kind.equals("size") || kind.equals("budget");
             figure = given ? Estimate.of(is.number()) : Estimate.of(is.number(), kind + " " + name);
@@ -158,9 +155,9 @@
                 d.get("when").text(),
                 d.get("what").text(),
                 is.text(),
-                reckon(is.text(), is.at()),
+                formulas.evaluate(is.text(), is.at()),
                 d.get("unit").text(""),
-                d.has("budget") ? reckon(budget.text(), budget.at()) : null,
+                d.has("budget") ? formulas.evaluate(budget.text(), budget.at()) : null,
                 carrier));
     }
 
@@ -172,7 +169,7 @@
                 d.get("x").text(),
                 d.get("text").text(),
                 given ? is.text() : null,
-                given ? reckon(is.text(), is.at()) : null,
+                given ? formulas.evaluate(is.text(), is.at()) : null,
                 given ? d.get("at").number() : 0));
     }
 
@@ -184,99 +181,8 @@
         return d.text();
     }
 
-    private Estimate reckon(String formula, String at) {
-        String[] words = formula.trim().split("\\s+", 0);
-        Estimate sum = Estimate.of(0);
-        Estimate product = term(words[0], at);
-        double sign = 1;
-        if (words.length % 2 == 0) {
-            throw new InvalidInputException(at + ": a name is missing in '" + formula + "'");
-        }
-        for (int i = 1; i < words.length; i += 2) {
-            Estimate next = term(words[i + 1], at);
-            switch (words[i]) {
-                case "*" -> product = product.with(product.value() * next.value(), next);
-                case "/" -> product = product.with(product.value() / next.value(), next);
-                case "+", "-" -> {
-                    sum = sum.with(sum.value() + sign * product.value(), product);
-                    sign = words[i].equals("+") ? 1 : -1;
-                    product = next;
-                }
-                default -> throw new InvalidInputException(at + ": one of + - * / expected, found '" + words[i] + "'");
-            }
-        }
-        return sum.with(sum.value() + sign * product.value(), product);
-    }
-
-    private Estimate term(String word, String at) {
-        if (word.endsWith("]") && word.contains("[")) {
-            return measured(word, at);
-        }
-        if (word.startsWith(FORM)) {
-            String sample = forms.get(word.substring(FORM.length()));
-            if (sample == null) {
-                throw new InvalidInputException(at + ": no message form '" + word + "'");
-            }
-            return Estimate.of(Messages.bytes(sample), "form " + word.substring(FORM.length()));
-        }
-        Quantity known = quantities.get(word);
-        if (known != null) {
-            return known.figure;
-        }
-        try {
-            return Estimate.of(Double.parseDouble(word));
-        } catch (NumberFormatException e) {
-            throw new InvalidInputException(at + ": '" + word + "' is not known here");
-        }
-    }
-
-    /** What a run gave; no number, and told so, where none did. */
-    private Estimate measured(String word, String at) {
-        String metric = word.substring(0, word.indexOf('['));
-        String inside = word.substring(word.indexOf('[') + 1, word.length() - 1);
-        boolean atPoint = inside.contains("@");
-        String[] x = inside.split("[=@]", 2);
-        Measurements.Series found = measurements.find(metric, x[0]);
-        Estimate size = x.length == 1
-                ? Estimate.of(0)
-                : !atPoint || !x[1].equals(LARGEST)
-                        ? term(x[1], at)
-                        : Estimate.of(found == null ? Double.NaN : found.largest());
-        if (found == null) {
-            String none = "**no run yet** of " + metric + " over " + x[0];
-            return Estimate.of(Double.NaN, none).with(Double.NaN, size);
-        }
-        double unit = scale(found);
-        String run = measurements.label(found) + ": ";
-        if (found.fit() == null || atPoint) { // a point at just this size is as good as a line
-            double point = x.length == 1 ? Double.NaN : found.pointAt(size.value()) * unit;
-            String grounds = run
-                    + (Double.isNaN(point)
-                            ? "**no such point**"
-                            : "as measured at " + x[0] + " = " + Estimate.number(size.value()));
-            return Estimate.of(point, grounds).with(point, size);
-        }
-        double slope = found.fit().slope();
-        run += Estimate.number(slope) + " " + found.unit() + " x " + x[0];
-        if (x.length == 1) {
-            return Estimate.of(slope * unit, run);
-        }
-        double intercept = found.fit().intercept();
-        run += (intercept < 0 ? " - " : " + ") + Estimate.number(Math.abs(intercept));
-        run += range(found, size.value());
-        double there = found.fit().at(size.value()) * unit;
-        return Estimate.of(there, run).with(there, size);
-    }
-
     /** A run's unit in bytes or seconds. */
     static double scale(Measurements.Series series) {
         return UNITS.getOrDefault(series.unit().split("/", 0)[0], 1.0);
     }
-
-    /** A size that no run has seen is told as such. */
-    private static String range(Measurements.Series found, double size) {
-        return size > found.largest()
-                ? ", **beyond** its largest, " + Estimate.number(found.largest())
-                : size < found.smallest() ? ", **below** its smallest, " + Estimate.number(found.smallest()) : "";
-    }
 }
