--- a/src/main/java/quotagateway/scale/FleetExperiment.java
+++ b/src/main/java/quotagateway/scale/FleetExperiment.java
@@ -7,7 +7,7 @@
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Connections and load a server, and counter calls, over the number of hollow nodes")
+        description = "Connections and load a server, and counter calls, over the number of simulated nodes")
 final class FleetExperiment extends SimulatedFleetExperiment {
     /** Rates are learnt and first lists have come by then (virtual ms). */
     private static final double SETTLE_MS = 5000;
--- a/src/main/java/quotagateway/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -11,7 +11,7 @@
 @Command(
         name = "ramp",
         mixinStandardHelpOptions = true,
-        description = "The sums that cold servers get of all hollow nodes, over every window of the settings")
+        description = "The sums that cold servers get of all simulated nodes, over every window of the settings")
 final class RampExperiment extends SimulatedFleetExperiment {
     private static final double SETTLE_MS = 6000;
 
--- a/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
+++ b/src/main/java/quotagateway/scale/SimulatedFleetExperiment.java
@@ -15,7 +15,7 @@
             names = "--nodes",
             split = ",",
             defaultValue = "5,10,20,30",
-            description = "hollow nodes, a point each (default ${DEFAULT-VALUE})")
+            description = "simulated nodes, a point each (default ${DEFAULT-VALUE})")
     List<Integer> sizes;
 
     /** Measures a fleet of this size and adds the results. */
