--- a/src/main/java/quotagateway/scale/LoopbackAddresses.java
+++ b/src/main/java/quotagateway/scale/LoopbackAddresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /**
- * A block of loopback addresses, one for each endpoint of a run: all of 127/8 reaches one listener of this machine, which
- * tells the endpoints apart by the address that was called.
+ * A block of loopback addresses, one for each endpoint of a run: all of 127/8 reaches one listener of this machine,
+ * which tells the endpoints apart by the address that was called.
  *
  * @param first the address of endpoint 0, as a number
  */
--- a/src/main/java/quotagateway/scale/soak/NodeSlot.java
+++ b/src/main/java/quotagateway/scale/soak/NodeSlot.java
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Ends the process by SIGTERM, and SIGKILL at the earliest time that the protocol allows; then starts a new one. */
+    /** Ends the process by SIGTERM, and SIGKILL as early as the protocol allows; then starts a new one. */
     void restart() throws IOException, InterruptedException {
         exclusively(() -> {
             terminate(current, lifetime, true);
--- a/src/main/java/quotagateway/scale/soak/Oracle.java
+++ b/src/main/java/quotagateway/scale/soak/Oracle.java
@@ -12,8 +12,8 @@
 
 /**
  * Checks what clients and endpoints saw in a run against the rules of the protocol. It knows the faults of the run and
- * excuses only what the protocol excuses. Each limit has some slack, as clients and endpoints share the machine with the
- * nodes and note things late.
+ * excuses only what the protocol excuses. Each limit has some slack, as clients and endpoints share the machine with
+ * the nodes and note things late.
  */
 final class Oracle {
     /** A connection that ends from so long before a kill to {@link #AFTER_KILL_MS} after it has ended by the kill. */
