--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -76,18 +76,9 @@
                 CounterStandIn counter = new CounterStandIn(peers, 0, 1e4, 0);
                 DiscoveryStandIn agent = new DiscoveryStandIn(
                         peers, 0, all, place::hostAndPort, new DiscoveryStandIn.ListFormat(false, false), seed)) {
-            List<InetSocketAddress> addresses = new ArrayList<>();
-            for (int i = 0; i < size; i++) {
-                nodes.add(RealNode.start(
-                        repository.root(),
-                        ScaleSettings.keys(i, size, 1),
-                        "null",
-                        agent.port(),
-                        counter.port(),
-                        seed + i));
-                addresses.add(nodes.get(i).address);
-                checkTimeLimitNow();
-            }
+            startNodes(nodes, size, agent, counter);
+            List<InetSocketAddress> addresses =
+                    nodes.stream().map(node -> node.address).toList();
             LoadDriver load = new LoadDriver(
                     clients, addresses, size, new CustomerPopulation(1000, CustomerPopulation.SKEW), rate * size, seed);
             load.start();
@@ -109,6 +100,16 @@
         }
     }
 
+    /** Starts real nodes one after another into a list, which has those that were started even if one fails. */
+    private void startNodes(List<RealNode> nodes, int size, DiscoveryStandIn agent, CounterStandIn counter)
+            throws Exception {
+        for (int i = 0; i < size; i++) {
+            nodes.add(RealNode.start(
+                    repository.root(), ScaleSettings.keys(i, size, 1), "null", agent.port(), counter.port(), seed + i));
+            checkTimeLimitNow();
+        }
+    }
+
     /** From the agent's word to the last request that the server got after it (us); 0 where none came. */
     private long change(EndpointStandIns place, DiscoveryStandIn agent, int server) throws InterruptedException {
         long told = System.nanoTime();
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -153,39 +153,17 @@
                         agent.port(),
                         counter.port(),
                         seed)) {
-            LoadDriver load = new LoadDriver(
-                    clients,
-                    List.of(node.address),
-                    nodes,
-                    new CustomerPopulation(asking, CustomerPopulation.SKEW),
-                    rate,
-                    seed);
+            CustomerPopulation population = new CustomerPopulation(asking, CustomerPopulation.SKEW);
+            LoadDriver load = new LoadDriver(clients, List.of(node.address), nodes, population, rate, seed);
             results.add("node.ready", x, at, node.readySeconds, "s");
             results.add("node.list_bytes", x, at, agent.completeList().length, "bytes");
             load.start();
             Future<?> ticking = changing == 0 ? null : changes(peers, agent, all, changing);
             await(node, SETTLE_MS);
-            load.takeCounts();
-            long calls = counter.calls.get();
-            long bytes = agent.bytesSent.get();
-            double cpu = node.cpuMicros();
-            long from = System.nanoTime();
-            await(node, seconds * (int) MICROS_PER_MS);
-            double lasted = (System.nanoTime() - from) / 1e9;
-            double used = node.cpuMicros() - cpu;
-            LoadDriver.LoadCounts told = load.takeCounts();
+            measure(x, at, node, place, counter, agent, load);
             if (ticking != null) {
                 ticking.cancel(false);
             }
-            results.add("node.cpu_us_per_s", x, at, used / lasted, "us/s");
-            results.add("node.cpu_us_per_request", x, at, used / Math.max(1, told.sent()), "us");
-            results.add("node.rss_mb", x, at, node.residentMemoryMb(), "MB");
-            results.add("node.descriptors", x, at, (double) node.openDescriptors(), "descriptors");
-            results.add("node.server_connections", x, at, place.connections(), "connections");
-            results.add("node.counter_calls_per_s", x, at, (counter.calls.get() - calls) / lasted, "1/s");
-            results.add("node.discovery_bytes_per_s", x, at, (agent.bytesSent.get() - bytes) / lasted, "bytes/s");
-            results.add("node.served_share", x, at, told.served() / (double) Math.max(1, told.sent()), "share");
-            latency("node.added", x, at, told.addedLatency());
             load.stop();
         } catch (RealNode.NodeNotReadyException e) {
             System.err.println(x + " " + at + ": " + e.getMessage());
@@ -196,6 +174,36 @@
         }
     }
 
+    /** What a settled node under load costs over the run's seconds, and what it adds to requests. */
+    private void measure(
+            String x,
+            int at,
+            RealNode node,
+            EndpointStandIns place,
+            CounterStandIn counter,
+            DiscoveryStandIn agent,
+            LoadDriver load)
+            throws Exception {
+        load.takeCounts();
+        long calls = counter.calls.get();
+        long bytes = agent.bytesSent.get();
+        double cpu = node.cpuMicros();
+        long from = System.nanoTime();
+        await(node, seconds * (int) MICROS_PER_MS);
+        double lasted = (System.nanoTime() - from) / 1e9;
+        double used = node.cpuMicros() - cpu;
+        LoadDriver.LoadCounts counts = load.takeCounts();
+        results.add("node.cpu_us_per_s", x, at, used / lasted, "us/s");
+        results.add("node.cpu_us_per_request", x, at, used / Math.max(1, counts.sent()), "us");
+        results.add("node.rss_mb", x, at, node.residentMemoryMb(), "MB");
+        results.add("node.descriptors", x, at, (double) node.openDescriptors(), "descriptors");
+        results.add("node.server_connections", x, at, place.connections(), "connections");
+        results.add("node.counter_calls_per_s", x, at, (counter.calls.get() - calls) / lasted, "1/s");
+        results.add("node.discovery_bytes_per_s", x, at, (agent.bytesSent.get() - bytes) / lasted, "bytes/s");
+        results.add("node.served_share", x, at, counts.served() / (double) Math.max(1, counts.sent()), "share");
+        latency("node.added", x, at, counts.addedLatency());
+    }
+
     private void latency(String metric, String x, int at, Histogram told) {
         if (told.getTotalCount() == 0) {
             return; // nothing was served: no time to tell
