--- a/src/main/java/quotagateway/policy/quota/DriftDetector.java
+++ b/src/main/java/quotagateway/policy/quota/DriftDetector.java
@@ -63,8 +63,8 @@
     }
 
     /** How far a reading is from what can be left, which is between the lowest level and {@code most}. */
-    Drift assess(double reading, double most, double now) {
-        double units = reading - Math.max(lowestLevel(), Math.min(reading, most));
+    Drift assess(double reading, double maximum, double now) {
+        double units = reading - Math.max(lowestLevel(), Math.min(reading, maximum));
         boolean significant = Math.abs(units) > holder.plan().burst() * TOLERATED_PART_OF_BURST;
         double delay = units < 0 ? LOSS_CONFIRMED_AFTER_MS : totalSuspect ? turnDelayMs() : 0;
         driftingSince = significant ? Math.min(driftingSince, now) : Double.MAX_VALUE;
--- a/src/main/java/quotagateway/policy/quota/QuotaLease.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLease.java
@@ -148,10 +148,10 @@
         double now = context.now();
         drift.noteTotal(claim.epoch, total - claim.added);
         double reading = filledSince(claim.epoch) - (total - claim.units);
-        double most = drift.isTotalSuspect()
+        double maximum = drift.isTotalSuspect()
                 ? Math.min(estimate.atMost(now), estimate.expected(now))
                 : holder.plan().burst();
-        DriftDetector.Drift found = drift.assess(reading, most, now);
+        DriftDetector.Drift found = drift.assess(reading, maximum, now);
         if (found.toBeCorrected()) {
             claim.correction = found.units();
             counter.addUnits(claim.epoch, claim.correction, this::onCorrectionReply);
--- a/src/main/java/quotagateway/policy/quota/ShareCalculator.java
+++ b/src/main/java/quotagateway/policy/quota/ShareCalculator.java
@@ -51,10 +51,10 @@
      */
     void record(double own, double all, double lastReadAt, double now) {
         double burst = holder.plan().burst();
-        double most = own + burst + holder.unitsPerMs() * (now - lastReadAt);
+        double maximum = own + burst + holder.unitsPerMs() * (now - lastReadAt);
         double kept = Math.pow(0.5, (now - countedAt) / USE_HALF_LIFE_MS);
         ownUnits = ownUnits * kept + own;
-        allUnits = allUnits * kept + Math.max(own, Math.min(all, most));
+        allUnits = allUnits * kept + Math.max(own, Math.min(all, maximum));
         countedAt = now;
         double even = burst * EVEN_PART_OF_BURST;
         share = (ownUnits + even / holder.gatewayCount()) / (allUnits + even);
--- a/src/main/java/quotagateway/scale/ChangeExperiment.java
+++ b/src/main/java/quotagateway/scale/ChangeExperiment.java
@@ -112,12 +112,12 @@
 
     /** From the agent's word to the last request that the server got after it (us); 0 where none came. */
     private long change(EndpointStandIns place, DiscoveryStandIn agent, int server) throws InterruptedException {
-        long told = System.nanoTime();
+        long announcedAt = System.nanoTime();
         agent.change(Set.of(server), EndpointState.DRAINING, 0);
         Thread.sleep(pause);
         long last = place.lastRequestNanos.get(server);
         agent.change(Set.of(server), EndpointState.UP, 0);
         Thread.sleep(pause);
-        return Math.max(0, (last - told) / 1000);
+        return Math.max(0, (last - announcedAt) / 1000);
     }
 }
--- a/src/main/java/quotagateway/scale/Distribution.java
+++ b/src/main/java/quotagateway/scale/Distribution.java
@@ -6,15 +6,15 @@
         double sum = 0;
         double squares = 0;
         double least = Double.MAX_VALUE;
-        double most = 0;
+        double largest = 0;
         for (long count : counts) {
             sum += count;
             squares += (double) count * count;
             least = Math.min(least, (double) count);
-            most = Math.max(most, (double) count);
+            largest = Math.max(largest, (double) count);
         }
         double mean = sum / counts.length;
-        return new Distribution(mean, least, most, Math.sqrt(Math.max(0, squares / counts.length - mean * mean)));
+        return new Distribution(mean, least, largest, Math.sqrt(Math.max(0, squares / counts.length - mean * mean)));
     }
 
     void addTo(Results results, String metric, int nodes, double per, String unit) {
--- a/src/main/java/quotagateway/scale/Experiment.java
+++ b/src/main/java/quotagateway/scale/Experiment.java
@@ -140,8 +140,8 @@
             Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            String told = new String(git.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).strip();
-            return git.waitFor() == 0 ? told : "unknown";
+            String output = new String(git.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).strip();
+            return git.waitFor() == 0 ? output : "unknown";
         } catch (IOException e) {
             return "unknown";
         } catch (InterruptedException e) {
--- a/src/main/java/quotagateway/scale/ModuleExperiment.java
+++ b/src/main/java/quotagateway/scale/ModuleExperiment.java
@@ -178,8 +178,8 @@
      */
     private void memory(int size) {
         int copies = Math.max(1, Math.min(MAX_POLICIES, MEMORY_ENTRIES / size));
-        double[] told = new double[3];
-        for (int round = 0; round < told.length; round++) {
+        double[] measured = new double[3];
+        for (int round = 0; round < measured.length; round++) {
             List<SimulatedNode> kept = new ArrayList<>();
             for (int i = 0; i < copies; i++) {
                 Load load = new Load(1);
@@ -193,11 +193,11 @@
                 Reference.reachabilityFence(kept);
             }
             kept.clear();
-            told[round] = (with - usedHeapBytes()) / (double) copies;
+            measured[round] = (with - usedHeapBytes()) / (double) copies;
             checkTimeLimitNow();
         }
-        Arrays.sort(told);
-        results.add("module.memory_bytes", "listed_servers", size, told[1], "bytes");
+        Arrays.sort(measured);
+        results.add("module.memory_bytes", "listed_servers", size, measured[1], "bytes");
     }
 
     private void customers(int size, int many) {
--- a/src/main/java/quotagateway/scale/NodeExperiment.java
+++ b/src/main/java/quotagateway/scale/NodeExperiment.java
@@ -204,13 +204,14 @@
         latency("node.added", x, at, counts.addedLatency());
     }
 
-    private void latency(String metric, String x, int at, Histogram told) {
-        if (told.getTotalCount() == 0) {
+    private void latency(String metric, String x, int at, Histogram latencies) {
+        if (latencies.getTotalCount() == 0) {
             return; // nothing was served: no time to tell
         }
-        results.add(metric + "_mean", x, at, told.getMean() / MICROS_PER_MS, "ms");
+        results.add(metric + "_mean", x, at, latencies.getMean() / MICROS_PER_MS, "ms");
         for (double p : new double[] {50, 99, 99.9}) {
-            results.add(metric + "_p" + Results.number(p), x, at, told.getValueAtPercentile(p) / MICROS_PER_MS, "ms");
+            results.add(
+                    metric + "_p" + Results.number(p), x, at, latencies.getValueAtPercentile(p) / MICROS_PER_MS, "ms");
         }
     }
 
--- a/src/main/java/quotagateway/scale/RampExperiment.java
+++ b/src/main/java/quotagateway/scale/RampExperiment.java
@@ -57,10 +57,10 @@
     }
 
     /** The fullest window of each server that was cold, of those in which all nodes knew. */
-    private void addResults(SimulatedFleet fleet, int size, long[] before, double told) {
+    private void addResults(SimulatedFleet fleet, int size, long[] before, double announcedAt) {
         double worst = 0;
         double mean = 0;
-        int over = 0;
+        int overloaded = 0;
         int cold = 0;
         double coldGot = 0;
         double warmGot = 0;
@@ -72,14 +72,14 @@
             }
             cold++;
             coldGot += host.attemptsReceived - before[i];
-            double[] sums = fullestWindow(host, told);
+            double[] sums = fullestWindow(host, announcedAt);
             worst = Math.max(worst, sums[0]);
             mean += sums[0];
-            over += sums[1] > 0 ? 1 : 0;
+            overloaded += sums[1] > 0 ? 1 : 0;
         }
         results.add("ramp.fullest_window_of_budget_worst", "nodes", size, worst, "share");
         results.add("ramp.fullest_window_of_budget_mean", "nodes", size, mean / cold, "share");
-        results.add("ramp.servers_past_budget_and_chance", "nodes", size, over / (double) cold, "share");
+        results.add("ramp.servers_past_budget_and_chance", "nodes", size, overloaded / (double) cold, "share");
         results.add(
                 "ramp.cold_to_warm_load",
                 "nodes",
@@ -89,21 +89,21 @@
     }
 
     /** The most of its budget that a window had, and by how much one went beyond budget and chance. */
-    private static double[] fullestWindow(SimulatedEndpoint host, double told) {
+    private static double[] fullestWindow(SimulatedEndpoint host, double announcedAt) {
         double[] times = host.attemptTimesSinceRestart.stream()
                 .mapToDouble(t -> t)
-                .filter(t -> t >= told)
+                .filter(t -> t >= announcedAt)
                 .toArray();
-        double most = 0;
+        double fullest = 0;
         double beyond = 0;
         for (int from = 0, to = 0; from < times.length; from++) {
             while (to < times.length && times[to] < times[from] + ScaleSettings.OVERLOAD_WINDOW_MS) {
                 to++;
             }
             double budget = host.overloadBudget(times[from], ScaleSettings.OVERLOAD_WINDOW_MS);
-            most = Math.max(most, (to - from) / budget);
+            fullest = Math.max(fullest, (to - from) / budget);
             beyond = Math.max(beyond, to - from - budget - 2 * Math.sqrt(budget) - 2);
         }
-        return new double[] {most, beyond};
+        return new double[] {fullest, beyond};
     }
 }
--- a/src/main/java/quotagateway/scale/RealNode.java
+++ b/src/main/java/quotagateway/scale/RealNode.java
@@ -76,9 +76,9 @@
         long end = System.nanoTime() + READY_SECONDS * 1_000_000_000L;
         while (System.nanoTime() < end) {
             if (!process.isAlive()) {
-                String told = firstLogLine();
+                String logLine = firstLogLine();
                 close();
-                throw new RunNotPossibleException("the edge node has ended at once: " + told);
+                throw new RunNotPossibleException("the edge node has ended at once: " + logLine);
             }
             try (Socket ping = new Socket()) {
                 ping.connect(address, 1000);
--- a/src/main/java/quotagateway/scale/ZoneLossExperiment.java
+++ b/src/main/java/quotagateway/scale/ZoneLossExperiment.java
@@ -44,18 +44,18 @@
         long zoneBefore = zoneAttempts(fleet);
         run(fleet, 4 * WINDOW_MS);
         double zoneUsual = (zoneAttempts(fleet) - zoneBefore) / 4.0;
-        List<EndpointDescriptor> gone = new ArrayList<>();
+        List<EndpointDescriptor> removed = new ArrayList<>();
         for (int i = 0; i < fleet.endpoints.length; i++) {
             if (fleet.inventory.zone(i) == 0) {
                 fleet.endpoints[i].stop(SimulatedEndpoint.Availability.SILENT);
-                gone.add(fleet.inventory.descriptor(i, EndpointState.REMOVED, 0));
+                removed.add(fleet.inventory.descriptor(i, EndpointState.REMOVED, 0));
             }
         }
-        fleet.announceChange(gone);
+        fleet.announceChange(removed);
         watch(fleet, size, "loss", usual);
         results.add("zone.kept_after_loss_least", "nodes", size, fewestEndpointsRetained(fleet), "servers");
         List<EndpointDescriptor> back = new ArrayList<>();
-        for (EndpointDescriptor s : gone) {
+        for (EndpointDescriptor s : removed) {
             int server = EndpointInventory.numberOf(s.id());
             fleet.endpoints[server].restart();
             back.add(fleet.inventory.descriptor(server, EndpointState.UP, fleet.clock.now()));
--- a/src/main/java/quotagateway/scale/soak/SoakSettings.java
+++ b/src/main/java/quotagateway/scale/soak/SoakSettings.java
@@ -83,10 +83,11 @@
     /** For a report's head. */
     @Override
     public String toString() {
-        List<String> told = new ArrayList<>();
+        List<String> deadlineTexts = new ArrayList<>();
         for (int deadline : deadlines) {
-            told.add(Integer.toString(deadline));
+            deadlineTexts.add(Integer.toString(deadline));
         }
-        return "deadlines " + String.join("/", told) + ", window " + idempotencyWindow + ", group " + retryScope;
+        return "deadlines " + String.join("/", deadlineTexts) + ", window " + idempotencyWindow + ", group "
+                + retryScope;
     }
 }
