--- a/src/main/java/quotagateway/policy/quota/DriftDetector.java
+++ b/src/main/java/quotagateway/policy/quota/DriftDetector.java
@@ -62,7 +62,7 @@
         return totalSuspect;
     }
 
-    /** How far a reading is from what can be left, which is between the lowest level and {@code most}. */
+    /** How far a reading is from what can be left, which is between the lowest level and {@code maximum}. */
     Drift assess(double reading, double maximum, double now) {
         double units = reading - Math.max(lowestLevel(), Math.min(reading, maximum));
         boolean significant = Math.abs(units) > holder.plan().burst() * TOLERATED_PART_OF_BURST;
