--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -22,7 +22,6 @@
 import quotagateway.policy.quota.CustomerQuota;
 import quotagateway.policy.quota.QuotaContext;
 import quotagateway.policy.quota.QuotaResplit;
-import quotagateway.policy.random.SeededRandom;
 import quotagateway.policy.retry.IdempotencyRule;
 import quotagateway.policy.retry.RetryPolicy;
 import quotagateway.policy.routing.EndpointPicker;
@@ -71,7 +70,7 @@
      * @param actions where its decisions go
      */
     public Policy(PolicySettings settings, long seed, double now, PolicyActions actions) {
-        Random random = new SeededRandom(seed);
+        Random random = new Random(seed);
         LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
         double marginMs = DEADLINE_MARGIN_TICKS * settings.tick();
         clock = new EventClock(now);
--- a/src/main/java/quotagateway/policy/random/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The source of all chance in the policy. */
-package quotagateway.policy.random;
