--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -144,16 +144,16 @@
     /**
      * Adds an amount to a name on the counter. The outcome comes to the listener, never before this method returns.
      *
-     * @param keepForMs how long the counter keeps the name, where this call creates it
+     * @param ttlMs how long the counter keeps the name, where this call creates it
      */
-    public void add(long name, double amount, double keepForMs) {
+    public void add(long name, double amount, double ttlMs) {
         CounterConnection connection =
                 address.address() == null ? null : connectionAt((int) Math.floorMod(name, (long) CONNECTIONS));
         if (connection == null || !connection.acceptsCalls()) {
             loop.execute(() -> listener.onCounterReply(name, CallOutcome.NO_CONNECTION, 0, 0));
             return;
         }
-        PendingCall call = PendingCall.add(connection, name, loop.now(), CounterProtocol.add(name, amount, keepForMs));
+        PendingCall call = PendingCall.add(connection, name, loop.now(), CounterProtocol.add(name, amount, ttlMs));
         connection.send(call);
         timeouts.add(call);
         if (!timeoutTimerRunning) {
--- a/src/main/java/quotagateway/counter/CounterProtocol.java
+++ b/src/main/java/quotagateway/counter/CounterProtocol.java
@@ -23,8 +23,8 @@
     private CounterProtocol() {}
 
     /** Adds an amount to a name; the counter keeps one that is new to it for so long. */
-    static String[] add(long name, double amount, double keepForMs) {
-        long lifeMs = (long) Math.max(1, Math.min(MAX_LIFE_MS, keepForMs));
+    static String[] add(long name, double amount, double ttlMs) {
+        long lifeMs = (long) Math.max(1, Math.min(MAX_LIFE_MS, ttlMs));
         return new String[] {"CNT.ADD", Long.toString(name), decimal(amount), Long.toString(lifeMs)};
     }
 
--- a/src/main/java/quotagateway/node/PolicyActionExecutor.java
+++ b/src/main/java/quotagateway/node/PolicyActionExecutor.java
@@ -35,10 +35,10 @@
     }
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
         ActiveRequest request = requests.find(requestId);
         if (request != null) {
-            attemptHandler.send(request, endpoint, until);
+            attemptHandler.send(request, endpoint, timeoutAt);
         }
     }
 
@@ -97,8 +97,8 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
-        backends.counter().add(name, amount, keepForMs);
+    public void addToCounter(long name, double amount, double ttlMs) {
+        backends.counter().add(name, amount, ttlMs);
     }
 
     @Override
--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -36,16 +36,16 @@
 import quotagateway.policy.traffic.TrafficMeter;
 
 /**
- * Every decision of one gateway: which requests pass their quota, when and to which endpoint they are sent, and what is
- * tried again. It ties the modules of the packages below together. The same events give the same actions.
+ * Makes all decisions of one gateway: which requests their quotas admit, when and to which endpoint they are sent, and
+ * which are retried. It wires up the modules of the subpackages. Equal events lead to equal actions.
  *
- * <p>Every event runs in the same steps: the clock advances, timers that are due run, the event is passed to the module
- * that it concerns, and requests that wait are dispatched if it may have made room for them.
+ * <p>Every event is handled in the same steps: the clock advances, timers that are due run, the event is passed to the
+ * module that it concerns, and waiting requests are dispatched if the event may have freed quota or capacity for them.
  */
 public final class Policy implements PolicyEvents {
-    /** Attempts have to begin so many ticks of the host's timers before a deadline. */
-    private static final int DEADLINE_MARGIN_TICKS = 2;
-    /** State that is not in use any more is looked for once in so many re-splits, as it takes a pass over all. */
+    /** Attempts must begin at least this many ticks of the host's timers before a deadline. */
+    private static final int DEADLINE_MARGIN_TIMER_TICKS = 2;
+    /** Unused state is evicted once in this many re-splits, because that scans all customers and endpoints. */
     private static final int RESPLITS_PER_CLEANUP = 64;
 
     private final EventClock clock;
@@ -62,17 +62,17 @@
     private final RequestIntake intake;
 
     /**
-     * Makes a policy that begins at once.
+     * Creates a policy and starts it: schedules the first re-split and subscribes to endpoint lists if required.
      *
-     * @param settings what it is told
-     * @param seed of all its random draws
-     * @param now the host's clock (ms)
-     * @param actions where its decisions go
+     * @param settings the settings of this gateway's policy
+     * @param seed the seed of all random draws
+     * @param now the time of the host's clock (ms)
+     * @param actions receives the actions of the policy
      */
     public Policy(PolicySettings settings, long seed, double now, PolicyActions actions) {
         Random random = new Random(seed);
         LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
-        double marginMs = DEADLINE_MARGIN_TICKS * settings.tick();
+        double marginMs = DEADLINE_MARGIN_TIMER_TICKS * settings.timerResolutionMs();
         clock = new EventClock(now);
         timers = new TimerQueue(clock, actions);
         schedule = new ResplitSchedule(settings);
@@ -129,7 +129,7 @@
         endpoints.endPeriod(traffic.attemptsInFlight());
         resplit.resplit();
         if (traffic.periods() % RESPLITS_PER_CLEANUP == 0) {
-            intake.forgetIdleCustomers();
+            intake.evictIdleCustomers();
             endpoints.forgetFormerMembers();
         }
     }
@@ -235,7 +235,7 @@
 
     @Override
     public void onTimer(double now, long token) {
-        boolean last = timers.isLastArmed(now); // the next one must be asked for by that one alone
+        boolean last = timers.isLastArmed(now); // only the timer that was armed last may arm the next one
         beginEvent(now);
         dispatcher.dispatch();
         if (last) {
--- a/src/main/java/quotagateway/policy/admission/AdmissionQueue.java
+++ b/src/main/java/quotagateway/policy/admission/AdmissionQueue.java
@@ -3,29 +3,29 @@
 import java.util.ArrayDeque;
 
 /**
- * The customers with waiting requests, served in turn (round-robin), of each the request first that is of no use
- * soonest. The design page's queues.
+ * Holds the customers that have waiting requests. Serves the customers round-robin, and the requests of each customer
+ * by the earliest objective deadline.
  */
 final class AdmissionQueue {
-    /** What came of the offer of a request. */
-    enum Offer {
-        /** It was sent, and waits no more. */
+    /** The result of an attempt to send a waiting request. */
+    enum SendResult {
+        /** The request was sent and no longer waits. */
         SENT,
-        /** Its customer has to wait; others may be served. */
+        /** The request's customer has to wait; other customers may be served. */
         CUSTOMER_BLOCKED,
-        /** Nothing can be sent at present, for whichever customer. */
+        /** No request of any customer can be sent at present. */
         ALL_BLOCKED
     }
 
     /** Sends a request if it may be sent now. */
     @FunctionalInterface
-    interface Server {
-        Offer offer(PendingRequest request);
+    interface RequestSender {
+        SendResult trySend(PendingRequest request);
     }
 
     private final ArrayDeque<Customer> rotation = new ArrayDeque<>();
 
-    /** Adds a request; its customer comes last in turn if none of it waited. */
+    /** Adds a request. Its customer joins the end of the rotation unless it is in the rotation already. */
     void add(PendingRequest request) {
         Customer customer = request.customer();
         customer.queue().add(request);
@@ -35,8 +35,8 @@
         }
     }
 
-    /** Offers waiting requests until every customer is blocked in a row, or all are. */
-    void serve(Server server) {
+    /** Sends waiting requests until each customer in the rotation is blocked, or no request can be sent at all. */
+    void sendWaiting(RequestSender sender) {
         int blocked = 0;
         while (blocked < rotation.size()) {
             Customer customer = rotation.poll();
@@ -45,7 +45,7 @@
                 continue;
             }
             rotation.add(customer);
-            switch (server.offer(customer.queue().first())) {
+            switch (sender.trySend(customer.queue().first())) {
                 case SENT -> blocked = 0;
                 case CUSTOMER_BLOCKED -> blocked++;
                 case ALL_BLOCKED -> {
--- a/src/main/java/quotagateway/policy/admission/AttemptSender.java
+++ b/src/main/java/quotagateway/policy/admission/AttemptSender.java
@@ -12,7 +12,7 @@
 import quotagateway.policy.traffic.SendRateLimiter;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** Sends attempts where the send rate and an endpoint allow it, and books their ends. */
+/** Sends attempts if the send rate and an endpoint allow it, and records how they end. */
 public final class AttemptSender {
     private final EndpointRegistry endpoints;
     private final EndpointPicker picker;
@@ -42,33 +42,33 @@
         this.actions = actions;
     }
 
-    /** The endpoint for the next attempt of a request; null where none may be sent now. */
+    /** Returns the endpoint for the next attempt of a request, or null if no attempt may be sent now. */
     Endpoint pick(PendingRequest request) {
         return limiter.hasPermit() ? picker.pick(request.attempts()) : null;
     }
 
-    /** Sends an attempt of a request that has none in flight. */
+    /** Sends an attempt of a request that has no attempt in flight. */
     void send(PendingRequest request, Endpoint endpoint) {
         endpoints.retainForAttempt(endpoint);
         request.attempts().add(endpoint.startAttempt(request.classLatency(), clock.now()));
         request.customer().queue().onAttemptSent();
         traffic.onSend(request.classLatency().meanMs());
         limiter.onSend();
-        timers.schedule(clock.now() + lateAfterMs(request), () -> onPossiblyLate(request));
+        timers.schedule(clock.now() + lateThresholdMs(request), () -> checkIfLate(request));
         actions.sendAttempt(request.id(), endpoint.id(), 0);
     }
 
-    private static double lateAfterMs(PendingRequest request) {
+    private static double lateThresholdMs(PendingRequest request) {
         return request.requestClass().latencyObjective() * SendRateLimiter.LATE_PART_OF_OBJECTIVE;
     }
 
-    private void onPossiblyLate(PendingRequest request) {
-        if (request.isInFlight() && request.attempts().last().sentAt() <= clock.now() - lateAfterMs(request)) {
+    private void checkIfLate(PendingRequest request) {
+        if (request.isInFlight() && request.attempts().last().sentAt() <= clock.now() - lateThresholdMs(request)) {
             limiter.onLateAttempt();
         }
     }
 
-    /** An attempt has ended; called once for each. */
+    /** Handles the end of an attempt; called once for each attempt. */
     void onEnded(PendingRequest request, Attempt attempt, CallOutcome outcome, double tookMs) {
         attempt.end(outcome);
         request.customer().queue().onAttemptEnded();
--- a/src/main/java/quotagateway/policy/admission/CustomerDirectory.java
+++ b/src/main/java/quotagateway/policy/admission/CustomerDirectory.java
@@ -10,10 +10,10 @@
 import quotagateway.policy.quota.QuotaResplit;
 import quotagateway.policy.timer.EventClock;
 
-/** The customers that had requests lately. */
+/** The customers that have sent requests recently. */
 public final class CustomerDirectory {
-    /** After this without a request a customer's quota is taken to be full, as that of a new one. */
-    private static final double FORGET_AFTER_MS = 30_000;
+    /** After this time without a request a customer's quota is assumed to be full, like that of a new customer. */
+    private static final double IDLE_TIMEOUT_MS = 30_000;
 
     private final PolicySettings settings;
     private final QuotaContext quotaContext;
@@ -29,8 +29,8 @@
         this.clock = clock;
     }
 
-    /** The customer of a request on its plan; on another plan it has another quota. */
-    Customer find(IncomingRequest incoming, QuotaPlan plan) {
+    /** Returns the customer of a request, created if necessary. A customer has a separate quota on each plan. */
+    Customer findOrCreate(IncomingRequest incoming, QuotaPlan plan) {
         String name = incoming.customer() + ' ' + incoming.plan();
         Customer customer = customers.get(name);
         if (customer == null) {
@@ -47,12 +47,12 @@
                 queue, new CustomerQuota(name, plan, incoming.gatewayCount(), position, quotaContext, queue));
     }
 
-    /** Forgets customers that had no request for a while and have none open. */
-    void forgetIdle() {
+    /** Evicts customers that have sent no request within the idle timeout and have none open. */
+    void evictIdle() {
         double now = clock.now();
         customers
                 .values()
-                .removeIf(customer -> now - customer.queue().lastArrivalAt() > FORGET_AFTER_MS
+                .removeIf(customer -> now - customer.queue().lastArrivalAt() > IDLE_TIMEOUT_MS
                         && !customer.queue().isInRotation()
                         && !resplit.isActive(customer.quota()));
     }
--- a/src/main/java/quotagateway/policy/admission/CustomerQueue.java
+++ b/src/main/java/quotagateway/policy/admission/CustomerQueue.java
@@ -4,12 +4,13 @@
 import java.util.TreeSet;
 import quotagateway.policy.quota.QuotaDemand;
 
-/** The requests of one customer: those that wait, in the order of how soon they are of no use, and those in flight. */
+/** The requests of one customer: waiting ones, ordered by objective deadline, and the attempts in flight. */
 final class CustomerQueue implements QuotaDemand {
-    private static final Comparator<PendingRequest> SOONEST_USELESS_FIRST =
-            Comparator.comparingDouble(PendingRequest::usefulUntil).thenComparingLong(PendingRequest::serial);
+    private static final Comparator<PendingRequest> EARLIEST_OBJECTIVE_DEADLINE_FIRST = Comparator.comparingDouble(
+                    PendingRequest::objectiveDeadline)
+            .thenComparingLong(PendingRequest::sequenceNumber);
 
-    private final TreeSet<PendingRequest> waiting = new TreeSet<>(SOONEST_USELESS_FIRST);
+    private final TreeSet<PendingRequest> waiting = new TreeSet<>(EARLIEST_OBJECTIVE_DEADLINE_FIRST);
     private double queuedUnits;
     private int attemptsInFlight;
     private double rejectRetriesUntil;
@@ -21,7 +22,7 @@
         queuedUnits += request.units();
     }
 
-    /** Takes a request out, if it waits. */
+    /** Removes a request if it is waiting. */
     void remove(PendingRequest request) {
         if (waiting.remove(request)) {
             queuedUnits -= request.units();
@@ -32,7 +33,7 @@
         return waiting.contains(request);
     }
 
-    /** The request that is of no use soonest; there has to be one. */
+    /** Returns the request with the earliest objective deadline; the queue must not be empty. */
     PendingRequest first() {
         return waiting.first();
     }
@@ -78,7 +79,7 @@
         return lastArrivalAt;
     }
 
-    /** A request has waited in vain: retries of clients are rejected until this time, as a fresh request earns more. */
+    /** Rejects clients' retries until this time: a request expired in the queue, and a new request earns more. */
     void rejectRetriesUntil(double time) {
         rejectRetriesUntil = time;
     }
@@ -87,7 +88,7 @@
         return now < rejectRetriesUntil;
     }
 
-    /** Whether the admission queue serves this one in its turn. */
+    /** Whether this customer is in the round-robin rotation of the admission queue. */
     boolean isInRotation() {
         return inRotation;
     }
--- a/src/main/java/quotagateway/policy/admission/DecayingMode.java
+++ b/src/main/java/quotagateway/policy/admission/DecayingMode.java
@@ -2,29 +2,32 @@
 
 import java.util.Arrays;
 
-/** The most frequent of a few small numbers; counts are halved now and then, so that it follows a change. */
+/**
+ * Tracks the most frequent value (the mode) of a small range of integers. All counts are halved when one of them
+ * reaches a limit, so that the mode follows changes.
+ */
 final class DecayingMode {
     private final int[] counts;
     private final int maxCount;
     private int mode;
 
     /**
-     * Starts with nothing counted.
+     * Creates a mode without samples.
      *
-     * @param numbers how many numbers there are, from 0
-     * @param maxCount all counts are halved when one reaches this
+     * @param valueCount the number of distinct values, which start at 0
+     * @param maxCount all counts are halved when one of them reaches this limit
      */
-    DecayingMode(int numbers, int maxCount) {
-        counts = new int[numbers];
+    DecayingMode(int valueCount, int maxCount) {
+        counts = new int[valueCount];
         this.maxCount = maxCount;
     }
 
-    /** Counts a number; returns the most frequent one by now, the first to be so of several. */
-    int add(int number) {
-        if (++counts[number] > counts[mode]) {
-            mode = number;
+    /** Counts a value and returns the mode; of several most frequent values, the one that became so first. */
+    int add(int value) {
+        if (++counts[value] > counts[mode]) {
+            mode = value;
         }
-        if (counts[number] >= maxCount) {
+        if (counts[value] >= maxCount) {
             Arrays.setAll(counts, i -> counts[i] / 2);
         }
         return mode;
--- a/src/main/java/quotagateway/policy/admission/OpenRequests.java
+++ b/src/main/java/quotagateway/policy/admission/OpenRequests.java
@@ -9,8 +9,8 @@
 import quotagateway.policy.traffic.TrafficMeter;
 
 /**
- * The requests that are not done with, by the host's number. Ends each of them once: it is completed, leaves its queue,
- * and its attempt in flight is cancelled; it is forgotten when that attempt has ended.
+ * The open requests, by the host's request id. Each request is ended once: it is completed, leaves its queue, and its
+ * attempt in flight is cancelled; the request is removed from this table when that attempt has ended.
  */
 public final class OpenRequests {
     private final Capabilities capabilities;
@@ -31,16 +31,16 @@
         requests.put(request.id(), request);
     }
 
-    /** The request of this number, or null. */
+    /** Returns the request with this id, or null. */
     PendingRequest get(long id) {
         return requests.get(id);
     }
 
-    /** Gives the final response of a request that no endpoint can give any more. */
-    void refuse(PendingRequest request, FailureReason reason) {
+    /** Sends the final response of a request that no endpoint can serve: a rejection if allowed, or an error. */
+    void rejectOrFail(PendingRequest request, FailureReason reason) {
         if (idempotency.mayReject(request.attempts())) {
             traffic.onRejection();
-            // what was short stays so for a while: a client that comes back sooner costs calls and finds no more
+            // a shortage lasts for a while: a client that retries sooner costs calls and finds no more capacity
             double retryAfterMs = capabilities.retryAfter() ? capabilities.maxRetryAfter() : 0;
             actions.reject(request.id(), retryAfterMs, reason);
         } else {
@@ -49,7 +49,7 @@
         end(request);
     }
 
-    /** The request needs no response any more, whatever the reason. */
+    /** Ends a request that needs no further response, for any reason. */
     void end(PendingRequest request) {
         if (!request.isCompleted() && !request.isStreaming() && capabilities.cancellation() && request.isInFlight()) {
             actions.cancelAttempt(request.id(), request.attempts().size() - 1);
--- a/src/main/java/quotagateway/policy/admission/PendingRequest.java
+++ b/src/main/java/quotagateway/policy/admission/PendingRequest.java
@@ -6,47 +6,47 @@
 import quotagateway.policy.quota.QuotaRequest;
 import quotagateway.policy.retry.AttemptHistory;
 
-/** A request that has come and is not done with: it waits, is in flight, or has its response while an attempt ends. */
+/** An open request: it waits, has an attempt in flight, or has its response while its attempt has not ended yet. */
 final class PendingRequest implements QuotaRequest {
-    /** With less than this many mean latencies left, a response is too often late to spend an endpoint on it. */
-    private static final double MIN_LATENCIES_LEFT = 2;
-    /** Rejected unsent past this part of its time-out, a request leaves its client no time to retry. */
-    private static final double MAX_WAITING_PART = 0.5;
+    /** With less than this many mean latencies left, a response is late too often to justify an attempt. */
+    private static final double MIN_MEAN_LATENCIES_LEFT = 2;
+    /** Rejected unsent after more than this fraction of its timeout, a request leaves its client no time to retry. */
+    private static final double MAX_WAIT_FRACTION = 0.5;
 
     private final IncomingRequest incoming;
     private final Customer customer;
     private final ClassLatency classLatency;
     private final AttemptHistory attempts;
     private final double deadline;
-    private final double usefulUntil;
+    private final double objectiveDeadline;
     private final double marginMs;
-    private final long serial;
+    private final long sequenceNumber;
     private boolean completed;
     private boolean streaming;
 
     /**
-     * Makes a request that has come now.
+     * Creates a request that arrives now.
      *
-     * @param usefulMs for how long a response is of use
-     * @param marginMs time before the deadline in which nothing is begun any more
-     * @param serial tells requests of one moment apart, in the order in which they came
+     * @param objectiveMs how long from now (ms) a response earns its full worth
+     * @param marginMs time before the deadline (ms) in which no attempt may begin
+     * @param sequenceNumber the order of arrival, by which requests with equal objective deadlines are ordered
      */
     PendingRequest(
             IncomingRequest incoming,
             Customer customer,
             ClassLatency classLatency,
             double now,
-            double usefulMs,
+            double objectiveMs,
             double marginMs,
-            long serial) {
+            long sequenceNumber) {
         this.incoming = incoming;
         this.customer = customer;
         this.classLatency = classLatency;
         this.marginMs = marginMs;
-        this.serial = serial;
+        this.sequenceNumber = sequenceNumber;
         attempts = new AttemptHistory(classLatency.requestClass());
         deadline = now + incoming.clientTimeout();
-        usefulUntil = Math.min(now + usefulMs, deadline);
+        objectiveDeadline = Math.min(now + objectiveMs, deadline);
     }
 
     long id() {
@@ -69,18 +69,18 @@
         return attempts;
     }
 
-    long serial() {
-        return serial;
+    long sequenceNumber() {
+        return sequenceNumber;
     }
 
-    /** When the client has gone. */
+    /** Returns the time (ms) at which the client stops waiting. */
     double deadline() {
         return deadline;
     }
 
-    /** When a response has lost its worth. */
-    double usefulUntil() {
-        return usefulUntil;
+    /** Returns the time (ms) until which a response earns its full worth, at most the deadline. */
+    double objectiveDeadline() {
+        return objectiveDeadline;
     }
 
     @Override
@@ -96,8 +96,8 @@
     @Override
     public double latestStart() {
         return Math.min(
-                usefulUntil - MIN_LATENCIES_LEFT * classLatency.meanMs(),
-                deadline - (1 - MAX_WAITING_PART) * incoming.clientTimeout() - marginMs);
+                objectiveDeadline - MIN_MEAN_LATENCIES_LEFT * classLatency.meanMs(),
+                deadline - (1 - MAX_WAIT_FRACTION) * incoming.clientTimeout() - marginMs);
     }
 
     @Override
@@ -105,12 +105,12 @@
         return incoming.retry();
     }
 
-    /** Whether an attempt is in flight; two never are. */
+    /** Whether an attempt is in flight; a request never has two attempts in flight. */
     boolean isInFlight() {
         return !attempts.isEmpty() && attempts.last().isInFlight();
     }
 
-    /** Whether the client has its final response, or none is owed any more. */
+    /** Whether the client has its final response or needs none any more. */
     boolean isCompleted() {
         return completed;
     }
@@ -119,7 +119,7 @@
         completed = true;
     }
 
-    /** Whether a response has begun to go to the client, so that there can be no other. */
+    /** Whether a response is being streamed to the client, so that no other response is possible. */
     boolean isStreaming() {
         return streaming;
     }
--- a/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
+++ b/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
@@ -11,13 +11,16 @@
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
 
-/** The life of a request: it waits for quota and an endpoint, is sent, retried where that is allowed, and ends. */
+/**
+ * Handles requests from the queue to their end: a request waits for quota and an endpoint, is sent, and is retried
+ * where that is allowed.
+ */
 public final class RequestDispatcher {
-    /** A retry that finds no endpoint looks again after this: a few of the shortest ticks. */
+    /** Delay before a retry that found no endpoint looks for one again: a few of the shortest timer ticks. */
     private static final double RETRY_INTERVAL_MS = 25;
 
     private final AdmissionQueue queue = new AdmissionQueue();
-    private final AdmissionQueue.Server server = this::offer;
+    private final AdmissionQueue.RequestSender requestSender = this::trySend;
     private final OpenRequests requests;
     private final AttemptSender sender;
     private final RetryPolicy retryPolicy;
@@ -43,39 +46,39 @@
         this.settings = settings;
     }
 
-    /** A new request that may wait. */
+    /** Queues a new request, sends it if possible, and otherwise schedules the end of its wait. */
     void enqueue(PendingRequest request) {
         resplit.activate(request.customer().quota());
         queue.add(request);
         dispatch();
         if (request.customer().queue().contains(request)) {
-            double expiresAt = Math.max(clock.now() + settings.tick(), request.latestStart());
+            double expiresAt = Math.max(clock.now() + settings.timerResolutionMs(), request.latestStart());
             timers.schedule(expiresAt, () -> onWaitExpired(request));
         }
     }
 
-    /** Sends what may be sent now; called at the end of every event that may have made room. */
+    /** Sends waiting requests; called at the end of every event that may have freed quota or capacity. */
     public void dispatch() {
-        queue.serve(server);
+        queue.sendWaiting(requestSender);
     }
 
-    private AdmissionQueue.Offer offer(PendingRequest request) {
+    private AdmissionQueue.SendResult trySend(PendingRequest request) {
         CustomerQuota quota = request.customer().quota();
         if (!quota.admits(request)) {
-            return AdmissionQueue.Offer.CUSTOMER_BLOCKED;
+            return AdmissionQueue.SendResult.CUSTOMER_BLOCKED;
         }
         Endpoint endpoint = sender.pick(request);
         if (endpoint == null) {
-            return AdmissionQueue.Offer.ALL_BLOCKED;
+            return AdmissionQueue.SendResult.ALL_BLOCKED;
         }
         request.customer().queue().remove(request);
         quota.spend(request.units());
         timers.schedule(request.deadline(), () -> onDeadline(request));
         sender.send(request, endpoint);
-        return AdmissionQueue.Offer.SENT;
+        return AdmissionQueue.SendResult.SENT;
     }
 
-    /** A streamed response has begun to go to the client. */
+    /** Handles the start of a streamed response to the client. */
     public void onResponseStarted(long id) {
         PendingRequest request = requests.get(id);
         if (request != null) {
@@ -83,7 +86,7 @@
         }
     }
 
-    /** The client has gone, or has cancelled the request. */
+    /** Ends a request whose client has disconnected or cancelled it. */
     public void onClientDisconnected(long id) {
         PendingRequest request = requests.get(id);
         if (request != null) {
@@ -92,10 +95,10 @@
     }
 
     /**
-     * An attempt has ended; one that is not known, or has ended before, changes nothing.
+     * Handles the end of an attempt. Has no effect if the attempt is unknown or has ended before.
      *
-     * @param completed whether the request needs no response any more
-     * @param actualUnits units that the request has really used, 0 where nothing is told
+     * @param completed whether the request needs no further response
+     * @param actualUnits units that the request has actually used, 0 if not reported
      */
     public void onAttemptEnded(
             long id, int number, CallOutcome outcome, double tookMs, boolean completed, int actualUnits) {
@@ -117,12 +120,12 @@
         quota.returnUnusedSlots();
     }
 
-    /** Every attempt has ended without a response: tries elsewhere where that is allowed and of use, or gives up. */
+    /** Retries a request whose attempts have all ended without a response, or rejects or fails the request. */
     private void retry(PendingRequest request) {
-        Optional<FailureReason> reasonAgainst =
-                retryPolicy.reasonAgainst(request.attempts(), request.usefulUntil(), request.deadline(), clock.now());
-        if (reasonAgainst.isPresent()) {
-            requests.refuse(request, reasonAgainst.get());
+        Optional<FailureReason> denialReason = retryPolicy.denialReason(
+                request.attempts(), request.objectiveDeadline(), request.deadline(), clock.now());
+        if (denialReason.isPresent()) {
+            requests.rejectOrFail(request, denialReason.get());
             return;
         }
         Endpoint endpoint = sender.pick(request);
@@ -141,15 +144,15 @@
 
     private void onWaitExpired(PendingRequest request) {
         if (!request.isCompleted() && request.attempts().isEmpty()) {
-            double retriesRejectedUntil = clock.now() + request.requestClass().latencyObjective();
-            request.customer().queue().rejectRetriesUntil(retriesRejectedUntil);
-            requests.refuse(request, FailureReason.HELD_TOO_LONG);
+            double rejectUntil = clock.now() + request.requestClass().latencyObjective();
+            request.customer().queue().rejectRetriesUntil(rejectUntil);
+            requests.rejectOrFail(request, FailureReason.HELD_TOO_LONG);
         }
     }
 
     private void onDeadline(PendingRequest request) {
         if (!request.isCompleted() && !request.isStreaming()) {
-            requests.refuse(request, FailureReason.DEADLINE);
+            requests.rejectOrFail(request, FailureReason.DEADLINE);
         }
     }
 }
--- a/src/main/java/quotagateway/policy/admission/RequestIntake.java
+++ b/src/main/java/quotagateway/policy/admission/RequestIntake.java
@@ -11,9 +11,12 @@
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** Where requests come in: finds class, plan and customer of each, and rejects at once what is not worth a wait. */
+/**
+ * Takes in new requests: looks up the class, plan and customer of each, and immediately rejects requests that are not
+ * worth queueing.
+ */
 public final class RequestIntake {
-    private record ClassState(ClassLatency latency, WaitEstimator waits) {}
+    private record ClassState(ClassLatency latency, WaitEstimator waitEstimator) {}
 
     private final CustomerDirectory customers;
     private final OpenRequests requests;
@@ -24,9 +27,9 @@
     private final double marginMs;
     private final Map<String, ClassState> classes = new HashMap<>();
     private final Map<String, QuotaPlan> plans = new HashMap<>();
-    private long nextSerial;
+    private long nextSequenceNumber;
 
-    /** @param marginMs time before a deadline in which nothing is begun any more */
+    /** @param marginMs time before a deadline (ms) in which no attempt may begin */
     public RequestIntake(
             PolicySettings settings,
             CustomerDirectory customers,
@@ -49,44 +52,44 @@
         settings.plans().forEach(plan -> plans.put(plan.name(), plan));
     }
 
-    /** A request has come: it is rejected, or sent, or waits. */
+    /** Handles a new request: rejects, sends or queues it. */
     public void onRequest(IncomingRequest incoming) {
         ClassState state = classes.get(incoming.requestClass());
         QuotaPlan plan = plans.get(incoming.plan());
         if (state == null || plan == null) {
-            actions.reject(incoming.id(), 0, FailureReason.NOT_IN_SETTINGS); // no quota can be kept for it
+            actions.reject(incoming.id(), 0, FailureReason.NOT_IN_SETTINGS); // no quota can be enforced for it
             return;
         }
-        Customer customer = customers.find(incoming, plan);
+        Customer customer = customers.findOrCreate(incoming, plan);
         customer.queue().onArrival(clock.now());
         customer.quota().onRequest(incoming.units());
         traffic.onRequest();
         double objectiveMs = state.latency().requestClass().latencyObjective();
-        double waitedBeforeMs = state.waits().waitedBefore(incoming.clientTimeout());
-        if (incoming.retry() || waitedBeforeMs > 0) {
+        double earlierWaitMs = state.waitEstimator().recordAndEstimateWait(incoming.clientTimeout());
+        if (incoming.retry() || earlierWaitMs > 0) {
             traffic.onRepeat();
         }
-        double usefulMs = objectiveMs - waitedBeforeMs;
-        boolean isUseful = usefulMs > 0;
+        double remainingObjectiveMs = objectiveMs - earlierWaitMs;
+        boolean isWithinObjective = remainingObjectiveMs > 0;
         PendingRequest request = new PendingRequest(
                 incoming,
                 customer,
                 state.latency(),
                 clock.now(),
-                isUseful ? usefulMs : objectiveMs,
+                isWithinObjective ? remainingObjectiveMs : objectiveMs,
                 marginMs,
-                nextSerial++);
+                nextSequenceNumber++);
         requests.add(request);
         if ((incoming.retry() && customer.queue().rejectsRetries(clock.now()))
-                || (!isUseful && !customer.quota().hasPlenty())) {
-            requests.refuse(request, FailureReason.QUOTA_SHORT);
+                || (!isWithinObjective && !customer.quota().hasPlenty())) {
+            requests.rejectOrFail(request, FailureReason.QUOTA_SHORT);
         } else {
             dispatcher.enqueue(request);
         }
     }
 
-    /** Called now and then: forgets customers that had no request for a while and have none open. */
-    public void forgetIdleCustomers() {
-        customers.forgetIdle();
+    /** Evicts customers that have sent no request recently and have none open; called periodically. */
+    public void evictIdleCustomers() {
+        customers.evictIdle();
     }
 }
--- a/src/main/java/quotagateway/policy/admission/WaitEstimator.java
+++ b/src/main/java/quotagateway/policy/admission/WaitEstimator.java
@@ -3,26 +3,26 @@
 import quotagateway.policy.api.RequestClass;
 
 /**
- * Guesses how long the client of a request has waited elsewhere before. Most clients of a class name one time-out; one
- * that names less than that has spent the rest of its deadline on an earlier try.
+ * Estimates how long the client of a request has waited elsewhere before. Most clients of a class send the same
+ * timeout; a client that sends a shorter one has spent the rest of the class's deadline on an earlier request.
  */
 final class WaitEstimator {
-    /** Time-outs are told apart by so many parts of the class's deadline. */
-    private static final int PARTS = 32;
-    /** So many of one part, and all counts are halved: what clients do may change. */
+    /** Number of buckets that divide the class's deadline; timeouts in one bucket are not distinguished. */
+    private static final int TIMEOUT_BUCKETS = 32;
+    /** All counts are halved when one bucket reaches this count, because the timeouts of clients may change. */
     private static final int MAX_COUNT = 1000;
 
     private final RequestClass requestClass;
-    private final DecayingMode parts = new DecayingMode(PARTS + 1, MAX_COUNT);
+    private final DecayingMode usualBucket = new DecayingMode(TIMEOUT_BUCKETS + 1, MAX_COUNT);
 
     WaitEstimator(RequestClass requestClass) {
         this.requestClass = requestClass;
     }
 
-    /** Counts the time-out of a new request; returns how long its client has waited before (ms), 0 for not at all. */
-    double waitedBefore(double clientTimeoutMs) {
+    /** Counts the timeout of a new request and returns how long its client has waited before (ms), 0 if not at all. */
+    double recordAndEstimateWait(double clientTimeoutMs) {
         double deadline = requestClass.deadline();
-        int part = (int) Math.min(PARTS, Math.max(0, clientTimeoutMs) / deadline * PARTS);
-        return part < parts.add(part) - 1 ? deadline - clientTimeoutMs : 0;
+        int bucket = (int) Math.min(TIMEOUT_BUCKETS, Math.max(0, clientTimeoutMs) / deadline * TIMEOUT_BUCKETS);
+        return bucket < usualBucket.add(bucket) - 1 ? deadline - clientTimeoutMs : 0;
     }
 }
--- a/src/main/java/quotagateway/policy/admission/package-info.java
+++ b/src/main/java/quotagateway/policy/admission/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Requests from their arrival to their last attempt: queues, the order in which customers are served, and sends.
+ * Admission of requests, from arrival to the last attempt: queues, the order in which customers are served, and sending
+ * of attempts.
  */
 package quotagateway.policy.admission;
--- a/src/main/java/quotagateway/policy/api/CallOutcome.java
+++ b/src/main/java/quotagateway/policy/api/CallOutcome.java
@@ -2,24 +2,24 @@
 
 /** How an attempt, a health check or a call to the shared counter ended. */
 public enum CallOutcome {
-    /** A complete response that is no error. */
+    /** A complete response that is not an error. */
     OK(false),
-    /** An error response, or one that could not be read. */
+    /** An error response, or a response that could not be parsed. */
     ERROR(false),
-    /** The peer rejected the call as it has no capacity left. */
+    /** The peer rejected the call because it had no capacity left. */
     FULL(true),
-    /** No response within the time that it was waited for. */
+    /** No response within the timeout. */
     TIMEOUT(false),
     /** No connection, or the connection ended before the call was written. */
     NO_CONNECTION(true),
-    /** The connection ended behind the call and before its response. */
+    /** The connection ended after the call was written and before its response. */
     RESET(false),
-    /** Given up on the policy's request. */
+    /** Cancelled at the request of the policy. */
     CANCELLED(false),
-    /** Not written, as the request had ended by then or a rule forbade it. */
+    /** Not written, because the request had ended by then or a rule forbade the call. */
     NOT_SENT(true);
 
-    /** True where the outcome proves that the peer has not executed the call. */
+    /** True if the outcome proves that the peer has not executed the call. */
     public final boolean provesNotExecuted;
 
     CallOutcome(boolean provesNotExecuted) {
--- a/src/main/java/quotagateway/policy/api/Capabilities.java
+++ b/src/main/java/quotagateway/policy/api/Capabilities.java
@@ -1,17 +1,17 @@
 package quotagateway.policy.api;
 
 /**
- * What a deployment allows and bounds.
+ * The optional features that a deployment allows, and its limits.
  *
  * @param healthChecks whether endpoints may be asked for their load
  * @param cancellation whether an attempt may be cancelled
- * @param hedging whether two attempts of one request may be in flight together
- * @param retryAfter whether a rejection may name a time to retry after
+ * @param hedging whether two attempts of one request may be in flight at the same time
+ * @param retryAfter whether a rejection may name a time after which to retry
  * @param gossip whether gateways may send each other messages
  * @param sharedCounter whether there is a counter that all gateways share
- * @param maxAttempts attempts of one request at the most, 1 or more
- * @param maxRetryAfter the longest time to retry after (ms)
- * @param counterTimeout how long a call to the shared counter is waited for (ms)
+ * @param maxAttempts maximum number of attempts of one request, 1 or more
+ * @param maxRetryAfter the longest time after which to retry that a rejection may name (ms)
+ * @param counterTimeout timeout of a call to the shared counter (ms)
  */
 public record Capabilities(
         boolean healthChecks,
--- a/src/main/java/quotagateway/policy/api/EndpointDescriptor.java
+++ b/src/main/java/quotagateway/policy/api/EndpointDescriptor.java
@@ -1,16 +1,16 @@
 package quotagateway.policy.api;
 
 /**
- * An endpoint as an endpoint list names it.
+ * An endpoint as described by an endpoint list.
  *
- * @param id its name, the same for as long as it is listed
+ * @param id its id, which does not change while it is listed
  * @param cell number of the cell that it belongs to
  * @param zone name of its zone
  * @param state whether it takes new requests
- * @param kind kind of machine
- * @param startedAt when its process started (ms of the host's clock), 0 where that was long ago
+ * @param kind its kind of machine
+ * @param startedAt when its process started (ms of the host's clock), 0 if that was long ago
  * @param weight its share of the load
- * @param address where it listens, in the host's own form; the policy only hands it back; 0 for none
+ * @param address where it listens, in the host's encoding, which the policy only passes back; 0 for none
  */
 public record EndpointDescriptor(
         String id,
--- a/src/main/java/quotagateway/policy/api/EndpointState.java
+++ b/src/main/java/quotagateway/policy/api/EndpointState.java
@@ -1,11 +1,11 @@
 package quotagateway.policy.api;
 
-/** The state of an endpoint by its endpoint list. */
+/** The state of an endpoint according to its endpoint list. */
 public enum EndpointState {
-    /** Takes new requests. */
+    /** Accepts new requests. */
     UP,
-    /** Finishes what it has and takes no new requests. */
+    /** Finishes its open requests and accepts no new ones. */
     DRAINING,
-    /** No longer there. */
+    /** No longer present. */
     REMOVED
 }
--- a/src/main/java/quotagateway/policy/api/FailureReason.java
+++ b/src/main/java/quotagateway/policy/api/FailureReason.java
@@ -1,25 +1,25 @@
 package quotagateway.policy.api;
 
-/** Why a request was rejected or failed. The reason changes nothing of the response; it is told to operators. */
+/** Why a request was rejected or failed. The reason does not affect the response; it is reported to operators. */
 public enum FailureReason {
-    /** The settings have no such class or plan. */
+    /** The settings do not contain the request's class or plan. */
     NOT_IN_SETTINGS,
-    /** A client's retry, or a request with no useful time left, while its quota is short. */
+    /** The quota is short, and the request is a client's retry or is past its latency objective. */
     QUOTA_SHORT,
-    /** Queued for quota or an endpoint until a response would have been late. */
+    /** The request waited for quota or an endpoint until a response would have been late. */
     HELD_TOO_LONG,
     /** The client's deadline has passed. */
     DEADLINE,
-    /** Its attempt may have been executed, and the class may not be retried, or not any more. */
+    /** An attempt may have been executed, and the request's class allows no retry, or no longer does. */
     NOT_REPEATABLE,
-    /** All attempts that the settings allow are used. */
+    /** The request has used all attempts that the settings allow. */
     ATTEMPTS_USED,
     /** Too little time is left for another attempt. */
     NO_TIME_TO_REPEAT,
     /** The policy made no decision in time, or failed. */
     NO_DECISION,
-    /** What came behind it on its connection could not be read. */
+    /** The data that followed the request on its connection could not be parsed. */
     CONNECTION_MALFORMED,
-    /** It came when a process that shuts down had to have answered everything. */
+    /** The request arrived after the time by which a process that shuts down must have responded to all requests. */
     SHUTDOWN
 }
--- a/src/main/java/quotagateway/policy/api/IncomingRequest.java
+++ b/src/main/java/quotagateway/policy/api/IncomingRequest.java
@@ -1,17 +1,17 @@
 package quotagateway.policy.api;
 
 /**
- * A request of a client as it arrived.
+ * A client's request as it arrived.
  *
- * @param id the host's number for it, unique for as long as it is open
+ * @param id the host's id of the request, unique while the request is open
  * @param requestClass name of its {@link RequestClass}
  * @param plan name of its {@link QuotaPlan}
- * @param customer whose quota it counts against
+ * @param customer name of the customer whose quota the request uses
  * @param clientTimeout how long the client waits for a response (ms)
- * @param units how many units of quota it takes, 1 or more
+ * @param units units of quota that the request uses, 1 or more
  * @param gatewayCount how many gateways share the customer's traffic
  * @param firstGateway index of the first of those gateways; the others follow in order
- * @param retry whether the client says that it has asked before
+ * @param retry whether the client marks the request as a retry
  */
 public record IncomingRequest(
         long id,
--- a/src/main/java/quotagateway/policy/api/PolicyActions.java
+++ b/src/main/java/quotagateway/policy/api/PolicyActions.java
@@ -1,16 +1,16 @@
 package quotagateway.policy.api;
 
 /**
- * What a policy asks of its host: the port through which its decisions go out. The host carries each action out after
- * the event that led to it has returned, and tells its outcome by an event of its own.
+ * The outbound port of a policy: the actions that it requests from its host. The host performs each action after the
+ * event that led to the action has returned, and reports the outcome by a separate event.
  */
 public interface PolicyActions {
     /**
      * Sends an attempt of a request; the attempts of a request are numbered from 0.
      *
-     * @param until when (ms of the host's clock) the host ends the attempt as timed out, 0 for no time of its own
+     * @param timeoutAt when (ms of the host's clock) the host ends the attempt as timed out, 0 for no such time
      */
-    void sendAttempt(long requestId, String endpoint, double until);
+    void sendAttempt(long requestId, String endpoint, double timeoutAt);
 
     /** Cancels an attempt that is in flight. */
     void cancelAttempt(long requestId, int attempt);
@@ -18,7 +18,7 @@
     /**
      * Rejects a request: its final response says that it was not executed.
      *
-     * @param retryAfterMs when the client may come again, 0 where nothing is said of that
+     * @param retryAfterMs the time after which the client may retry, 0 to name none
      */
     void reject(long requestId, double retryAfterMs);
 
@@ -35,29 +35,29 @@
         fail(requestId);
     }
 
-    /** Asks for {@link PolicyEvents#onTimer} after a delay. */
+    /** Requests {@link PolicyEvents#onTimer} after a delay. */
     void scheduleTimer(double delayMs, long token);
 
-    /** Asks an endpoint for its load; {@link PolicyEvents#onHealthCheck} tells what came of it. */
+    /** Asks an endpoint for its load; {@link PolicyEvents#onHealthCheck} reports the outcome. */
     void checkHealth(String endpoint);
 
     /**
-     * Adds to a running total on the shared counter; {@link PolicyEvents#onCounterReply} tells the new one.
+     * Adds to a running total on the shared counter; {@link PolicyEvents#onCounterReply} reports the new total.
      *
-     * @param name of the total
-     * @param keepForMs how long a total that this call creates is kept
+     * @param name the name of the total
+     * @param ttlMs time to live of a total that this call creates
      */
-    void addToCounter(long name, double amount, double keepForMs);
+    void addToCounter(long name, double amount, double ttlMs);
 
-    /** Subscribes to endpoint lists, or asks for them again. */
+    /** Subscribes to endpoint lists, or requests them again. */
     void subscribeToEndpoints();
 
-    /** Attempts that still wait for a connection to this endpoint must not go there any more. */
+    /** Withdraws the attempts that still wait for a connection to this endpoint: they must not be sent to it. */
     default void withdrawQueuedAttempts(String endpoint) {}
 
-    /** The endpoint is in use from here on: connections to it may be made ahead and kept. */
+    /** Marks an endpoint as in use: connections to it may be opened in advance and kept. */
     default void retainEndpoint(EndpointDescriptor endpoint) {}
 
-    /** The endpoint is not in use any more: idle connections may be closed, attempts in flight may end. */
+    /** Marks an endpoint as no longer in use: idle connections may be closed, attempts in flight may finish. */
     default void releaseEndpoint(String endpoint) {}
 }
--- a/src/main/java/quotagateway/policy/api/PolicyEvents.java
+++ b/src/main/java/quotagateway/policy/api/PolicyEvents.java
@@ -4,45 +4,46 @@
 import java.util.Set;
 
 /**
- * What a host tells a policy: the port through which everything comes in. The policy answers by calling
- * {@link PolicyActions}, during the event or not at all. Times are milliseconds of the host's clock, which does not run
- * backwards; all calls come from one thread.
+ * The inbound port of a policy: the events that its host passes to it. The policy responds by calling
+ * {@link PolicyActions}, which it does only during an event. Times are milliseconds of the host's clock, which does not
+ * run backwards; all calls come from one thread.
  */
 public interface PolicyEvents {
     /**
-     * An endpoint list, or changes of it.
+     * An endpoint list, or changes to it, have arrived.
      *
      * @param endpoints the list or the changed endpoints
-     * @param complete whether the list is complete: what it does not name is removed
+     * @param complete whether the list is complete: endpoints that it does not name are removed
      */
     void onEndpoints(double now, List<EndpointDescriptor> endpoints, boolean complete);
 
     /**
-     * A complete list begins that comes in parts, each by {@link #onEndpoints} as a change. What none of them has named
-     * is removed at its end; a list that is begun again, or never ends, removes nothing.
+     * A complete list begins that arrives in parts, each of them passed to {@link #onEndpoints} as a change. Endpoints
+     * that no part has named are removed when the list ends; a list that is restarted, or never ends, removes none.
      */
     default void onEndpointListStarted(double now) {}
 
-    /** The complete list that was begun last has come to its end. */
+    /** The complete list that was started last has ended. */
     default void onEndpointListCompleted(double now) {}
 
     /** A call to discovery failed or the subscription ended. */
     void onDiscoveryFailed(double now);
 
-    /** A request has come. */
+    /** A request has arrived. */
     void onRequest(double now, IncomingRequest request);
 
-    /** A streamed response has begun: from here on the attempt is the client's. */
+    /** A streamed response has begun: the client receives the response of this attempt from now on. */
     void onResponseStarted(double now, long requestId, int attempt);
 
     /**
      * An attempt has ended.
      *
      * @param attempt number of the attempt, from 0
-     * @param tookMs time from its send to its end
-     * @param completed whether the request needs no response any more
-     * @param actualUnits units that the request has really used, 0 where nothing is told
-     * @param load the load report that came with it, in the order of the settings' fields; NaN where a value is missing
+     * @param tookMs time from the sending of the attempt to its end
+     * @param completed whether the request needs no further response
+     * @param actualUnits units that the request has actually used, 0 if not reported
+     * @param load the load report that came with the response, in the order of {@link PolicySettings#loadFields}; NaN
+     *     for a missing value
      */
     void onAttemptEnded(
             double now,
@@ -57,34 +58,34 @@
     /** The client of a request has disconnected or cancelled it. */
     void onClientDisconnected(double now, long requestId);
 
-    /** A timer that {@link PolicyActions#scheduleTimer} asked for is due. */
+    /** A timer requested by {@link PolicyActions#scheduleTimer} is due. */
     void onTimer(double now, long token);
 
-    /** A health check that {@link PolicyActions#checkHealth} asked for has ended. */
+    /** A health check requested by {@link PolicyActions#checkHealth} has ended. */
     default void onHealthCheck(double now, String endpoint, CallOutcome outcome, double tookMs, double[] load) {}
 
     /**
-     * A call that {@link PolicyActions#addToCounter} asked for has ended. Replies of one name come in the order of the
-     * calls.
+     * A call requested by {@link PolicyActions#addToCounter} has ended. The replies for one name arrive in the order of
+     * the calls.
      *
-     * @param total the counter's new value, where the outcome is {@link CallOutcome#OK}
+     * @param total the counter's new value if the outcome is {@link CallOutcome#OK}
      */
     void onCounterReply(double now, long name, CallOutcome outcome, double tookMs, double total);
 
-    /** An operator cordons an endpoint or takes the cordon off; false where no list has ever named it. */
+    /** An operator cordons or uncordons an endpoint; returns false if no list has ever named the endpoint. */
     default boolean setCordoned(double now, String endpoint, boolean cordoned) {
         return false;
     }
 
-    /** The cordoned endpoints as they are stored: these and no others. */
+    /** Replaces the set of cordoned endpoints by the stored one. */
     default void replaceCordons(double now, Set<String> endpoints) {}
 
-    /** How many endpoints the list has, draining ones included. */
+    /** Returns the number of endpoints in the list, draining ones included. */
     default int endpointCount() {
         return 0;
     }
 
-    /** How many endpoints of the list get nothing new at present, for whatever reason. */
+    /** Returns the number of listed endpoints that get no new requests at present, for any reason. */
     default int unavailableEndpointCount(double now) {
         return 0;
     }
--- a/src/main/java/quotagateway/policy/api/PolicyFactory.java
+++ b/src/main/java/quotagateway/policy/api/PolicyFactory.java
@@ -1,15 +1,15 @@
 package quotagateway.policy.api;
 
-/** Makes a policy. */
+/** Creates policies. */
 @FunctionalInterface
 public interface PolicyFactory {
     /**
-     * Makes a policy that begins at once.
+     * Creates a policy and starts it.
      *
-     * @param settings what it is told
-     * @param seed of all its random draws: the same events with the same seed give the same actions
-     * @param now the host's clock (ms)
-     * @param actions where its decisions go
+     * @param settings the settings of the gateway's policy
+     * @param seed the seed of all random draws: equal events with an equal seed lead to equal actions
+     * @param now the time of the host's clock (ms)
+     * @param actions receives the actions of the policy
      */
     PolicyEvents create(PolicySettings settings, long seed, double now, PolicyActions actions);
 }
--- a/src/main/java/quotagateway/policy/api/RequestClass.java
+++ b/src/main/java/quotagateway/policy/api/RequestClass.java
@@ -5,13 +5,13 @@
  *
  * @param name its name in requests
  * @param idempotency whether its requests can be retried
- * @param retryScope where a retry has to stay, for requests with an idempotency key
+ * @param retryScope which endpoints a retry is limited to, for requests with an idempotency key
  * @param latencyObjective a response within this time (ms) earns the full worth
- * @param deadline no client waits longer than this (ms)
- * @param priorityWeight what one request is worth
- * @param lateWeight the part of that worth which a response past the latency objective earns
- * @param idempotencyWindow how long after the first attempt (ms) a retry is recognised by its key
- * @param streaming whether responses come in parts
+ * @param deadline the longest time that a client waits (ms)
+ * @param priorityWeight worth of one request
+ * @param lateWeight fraction of that worth that a response after the latency objective earns
+ * @param idempotencyWindow how long after the first attempt (ms) a retry is recognised by its idempotency key
+ * @param streaming whether responses arrive in parts
  */
 public record RequestClass(
         String name,
@@ -23,7 +23,7 @@
         double lateWeight,
         double idempotencyWindow,
         boolean streaming) {
-    /** Whether a retry has to stay with a part of the endpoints. */
+    /** Whether retries are limited to some of the endpoints. */
     public boolean retriesStayInScope() {
         return idempotency == Idempotency.IDEMPOTENCY_KEY && retryScope != RetryScope.ALL;
     }
--- a/src/main/java/quotagateway/policy/api/RetryScope.java
+++ b/src/main/java/quotagateway/policy/api/RetryScope.java
@@ -2,10 +2,10 @@
 
 /** Which endpoints recognise each other's idempotency keys. */
 public enum RetryScope {
-    /** All of them. */
+    /** All endpoints. */
     ALL,
-    /** Those of one zone. */
+    /** The endpoints of one zone. */
     ZONE,
-    /** Those of one cell. */
+    /** The endpoints of one cell. */
     CELL
 }
--- a/src/main/java/quotagateway/policy/package-info.java
+++ b/src/main/java/quotagateway/policy/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decision module of a gateway: {@link quotagateway.policy.Policy} ties together the modules of the packages
- * below it, which know nothing of sockets, threads or clocks. Imports run one way: api, then hash, statistics and
- * timer, then traffic and health, slowstart, endpoint, retry and routing, quota, and at last admission.
+ * The decision module of a gateway: {@link quotagateway.policy.Policy} wires up the modules of the subpackages, which
+ * do not depend on sockets, threads or the system clock. Imports run in one direction only, from the last of these
+ * layers to the first: api; hash, statistics and timer; traffic and health; slowstart; endpoint; retry and routing;
+ * quota; admission.
  */
 package quotagateway.policy;
--- a/src/main/java/quotagateway/policy/quota/CounterCalls.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCalls.java
@@ -44,10 +44,10 @@
     }
 
     /** Adds to a total, whether or not {@link #mayCall}: returns of units are not to wait. */
-    void add(long name, double amount, double keepForMs, CustomerQuota quota, CounterReplyHandler handler) {
+    void add(long name, double amount, double ttlMs, CustomerQuota quota, CounterReplyHandler handler) {
         window.onCall();
         pending.add(name, new PendingCall(quota, handler));
-        actions.addToCounter(name, amount, keepForMs);
+        actions.addToCounter(name, amount, ttlMs);
     }
 
     /** A call has ended; returns the quota that made it, or null where no such call was made. */
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -23,11 +23,11 @@
     /** This gateway's part of the plan's hard limit, if it has one. */
     static HardLimit of(QuotaHolder holder, double now) {
         QuotaPlan plan = holder.plan();
-        if (plan.ceilingRate() <= 0) {
+        if (plan.hardLimitRate() <= 0) {
             return NONE;
         }
-        double burst = Math.floor(plan.ceilingBurst() / holder.gatewayCount());
-        return new HardLimit(plan.ceilingRate(), holder.gatewayCount(), new TokenBucket(burst, 0, now));
+        double burst = Math.floor(plan.hardLimitBurst() / holder.gatewayCount());
+        return new HardLimit(plan.hardLimitRate(), holder.gatewayCount(), new TokenBucket(burst, 0, now));
     }
 
     /** Whether the plan has a hard limit. */
--- a/src/main/java/quotagateway/policy/retry/AttemptHistory.java
+++ b/src/main/java/quotagateway/policy/retry/AttemptHistory.java
@@ -33,17 +33,17 @@
         return attempts.isEmpty();
     }
 
-    /** The attempt of this number, from 0. */
+    /** Returns the attempt with this number, counted from 0. */
     public Attempt get(int number) {
         return attempts.get(number);
     }
 
-    /** Whether there is an attempt of this number that has not ended. */
+    /** Whether there is an attempt with this number that has not ended. */
     public boolean isInFlight(int number) {
         return number >= 0 && number < attempts.size() && attempts.get(number).isInFlight();
     }
 
-    /** The attempt that was sent last. */
+    /** Returns the attempt that was sent last. */
     public Attempt last() {
         return attempts.get(attempts.size() - 1);
     }
@@ -57,13 +57,13 @@
         return false;
     }
 
-    /** The first attempt that its endpoint may have executed. */
+    /** Returns the first attempt that its endpoint may have executed. */
     public Optional<Attempt> firstThatMayHaveRun() {
         return attempts.stream().filter(Attempt::mayHaveRun).findFirst();
     }
 
-    /** When the request may have been executed first. */
-    OptionalDouble firstPossibleRunAt() {
+    /** Returns the earliest time (ms) at which the request may have been executed; empty if it cannot have been. */
+    OptionalDouble firstPossibleExecutionAt() {
         return attempts.stream()
                 .filter(Attempt::mayHaveRun)
                 .mapToDouble(Attempt::sentAt)
--- a/src/main/java/quotagateway/policy/retry/IdempotencyRule.java
+++ b/src/main/java/quotagateway/policy/retry/IdempotencyRule.java
@@ -9,52 +9,53 @@
 import quotagateway.policy.endpoint.Endpoint;
 
 /**
- * What a request's idempotency allows once it may have been executed: whether and where it may be sent again, and
- * whether its client may be told that it was not executed. The protocol page's rules.
+ * Decides what a request's idempotency allows once the request may have been executed: whether and where it may be
+ * retried, and whether its client may be told that it was not executed.
  */
 public final class IdempotencyRule {
     private final double marginMs;
 
-    /** @param marginMs windows are taken to end so much earlier, for the time until the attempt is on its way */
+    /** @param marginMs time by which idempotency windows are shortened, to cover the time until an attempt is sent */
     public IdempotencyRule(double marginMs) {
         this.marginMs = marginMs;
     }
 
-    /** Whether another attempt may be sent now, leaving open where. */
+    /** Whether another attempt may be sent now, regardless of its endpoint. */
     public boolean mayRetry(AttemptHistory attempts, double now) {
-        OptionalDouble firstRun = attempts.firstPossibleRunAt();
-        if (firstRun.isEmpty()) {
+        OptionalDouble firstExecution = attempts.firstPossibleExecutionAt();
+        if (firstExecution.isEmpty()) {
             return true;
         }
         RequestClass requestClass = attempts.requestClass();
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case IDEMPOTENCY_KEY -> now - firstRun.getAsDouble() < requestClass.idempotencyWindow() - marginMs;
+            case IDEMPOTENCY_KEY -> now - firstExecution.getAsDouble() < requestClass.idempotencyWindow() - marginMs;
             case NON_IDEMPOTENT -> false;
         };
     }
 
-    /** Whether the endpoint recognises the key of a request that those before may have executed. */
+    /** Whether the endpoint recognises the key of a request that endpoints of earlier attempts may have executed. */
     public boolean isInScope(AttemptHistory attempts, Endpoint endpoint) {
         if (attempts.isEmpty() || !attempts.requestClass().retriesStayInScope()) {
             return true;
         }
         RetryScope scope = attempts.requestClass().retryScope();
         for (Attempt attempt : attempts.attempts()) {
-            if (attempt.mayHaveRun() && !sharesKeys(scope, attempt.endpoint().descriptor(), endpoint.descriptor())) {
+            if (attempt.mayHaveRun()
+                    && !sharesIdempotencyKeys(scope, attempt.endpoint().descriptor(), endpoint.descriptor())) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean sharesKeys(RetryScope scope, EndpointDescriptor one, EndpointDescriptor other) {
+    private static boolean sharesIdempotencyKeys(RetryScope scope, EndpointDescriptor one, EndpointDescriptor other) {
         return scope == RetryScope.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
     }
 
     /**
-     * Whether the client may be told to come again: not where its request may have been executed and a second one would
-     * do harm, or would reach an endpoint that does not know its key.
+     * Whether the client may be told to retry: not if its request may have been executed and a second execution would
+     * do harm, or the retry could reach an endpoint that does not recognise its key.
      */
     public boolean mayReject(AttemptHistory attempts) {
         RequestClass requestClass = attempts.requestClass();
--- a/src/main/java/quotagateway/policy/retry/RetryPolicy.java
+++ b/src/main/java/quotagateway/policy/retry/RetryPolicy.java
@@ -4,8 +4,8 @@
 import quotagateway.policy.api.FailureReason;
 
 /**
- * Whether a request gets another attempt after those before have ended without a response. What all retries together
- * may send is bounded by the send rate limiter, which is the retry budget too.
+ * Decides whether a request gets another attempt after its earlier attempts have ended without a response. The total
+ * rate of retries is bounded by the send rate limiter, which serves as the retry budget too.
  */
 public final class RetryPolicy {
     private final IdempotencyRule idempotency;
@@ -13,8 +13,8 @@
     private final double marginMs;
 
     /**
-     * @param maxAttempts attempts of one request at the most
-     * @param marginMs time before a deadline in which nothing is begun any more
+     * @param maxAttempts maximum number of attempts of one request
+     * @param marginMs time before a deadline (ms) in which no attempt may begin
      */
     public RetryPolicy(IdempotencyRule idempotency, int maxAttempts, double marginMs) {
         this.idempotency = idempotency;
@@ -23,14 +23,14 @@
     }
 
     /**
-     * Why no further attempt may follow; empty where one may.
+     * Returns why no further attempt is allowed, or empty if one is allowed.
      *
-     * @param usefulUntil when a response has lost its worth
-     * @param deadline when the client has gone
+     * @param objectiveDeadline until when (ms) a response earns its full worth
+     * @param deadline when (ms) the client stops waiting
      */
-    public Optional<FailureReason> reasonAgainst(
-            AttemptHistory attempts, double usefulUntil, double deadline, double now) {
-        if (now >= usefulUntil || now >= deadline - marginMs) {
+    public Optional<FailureReason> denialReason(
+            AttemptHistory attempts, double objectiveDeadline, double deadline, double now) {
+        if (now >= objectiveDeadline || now >= deadline - marginMs) {
             return Optional.of(FailureReason.NO_TIME_TO_REPEAT);
         }
         if (!idempotency.mayRetry(attempts, now)) {
--- a/src/main/java/quotagateway/policy/retry/package-info.java
+++ b/src/main/java/quotagateway/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests may be sent again, where and until when. */
+/** Rules for retries: which requests may be retried, at which endpoints and until when. */
 package quotagateway.policy.retry;
--- a/src/main/java/quotagateway/policy/routing/EndpointPicker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointPicker.java
@@ -12,18 +12,18 @@
 import quotagateway.policy.timer.EventClock;
 
 /**
- * Chooses the endpoint of an attempt: the one with the fewest requests in flight, weighed by how slow it is and how
- * likely it fails (least request, as Envoy's, over the whole subset in place of two choices).
+ * Chooses the endpoint of an attempt: the one with the fewest requests in flight, weighted by its latency and failure
+ * rate. This is least-request balancing as in Envoy, but over the complete subset in place of two random choices.
  */
 public final class EndpointPicker {
-    /** Scores differ by this part by chance, so that gateways with equal knowledge choose differently. */
+    /** Largest random fraction added to a score, so that gateways with equal knowledge choose differently. */
     private static final double JITTER = 0.1;
-    /** An endpoint that always fails a class scores as if it were so much (plus 1) times slower. */
+    /** The score of an endpoint that always fails a class is multiplied by 1 plus this value. */
     private static final double FAILURE_PENALTY = 8;
-    /** An endpoint that has had an attempt of this request is chosen when others are so many times worse. */
-    private static final double USED_BEFORE_PENALTY = 8;
-    /** A retry looks at so many endpoints outside the subset at the most. */
-    private static final int MAX_LOOKED_AT_OUTSIDE = 1000;
+    /** An endpoint that has had an attempt of the request is chosen if the others score worse by this factor. */
+    private static final double ALREADY_TRIED_PENALTY = 8;
+    /** Maximum number of endpoints outside the subset that a retry considers. */
+    private static final int MAX_CANDIDATES_OUTSIDE_SUBSET = 1000;
 
     private final EndpointRegistry endpoints;
     private final IdempotencyRule idempotency;
@@ -44,7 +44,7 @@
         this.random = random;
     }
 
-    /** The endpoint for the next attempt of a request with these behind it; null where none may get it now. */
+    /** Returns the endpoint for the next attempt after these earlier ones, or null if none may receive it now. */
     public Endpoint pick(AttemptHistory attempts) {
         double now = clock.now();
         Endpoint best = null;
@@ -57,7 +57,7 @@
                 continue;
             }
             if (firstRequestDue) {
-                return candidate; // where the others are quick and have no queue its score would never win
+                return candidate; // if the others are fast and have no queue, its score would never win
             }
             double score = score(attempts, candidate, warmupFraction, now);
             if (best == null || score < bestScore) {
@@ -65,10 +65,10 @@
                 bestScore = score;
             }
         }
-        return attempts.requestClass().retriesStayInScope() ? orOutsideSubset(attempts, best, now) : best;
+        return attempts.requestClass().retriesStayInScope() ? orElseOutsideSubset(attempts, best, now) : best;
     }
 
-    /** How bad a choice the endpoint is; every call draws a random number. */
+    /** Returns the score of an endpoint; the lowest is chosen. Every call draws a random number. */
     private double score(AttemptHistory attempts, Endpoint candidate, double warmupFraction, double now) {
         double score = (candidate.inFlight() + 1) * candidate.slowness(now);
         if (warmupFraction < 1) {
@@ -77,11 +77,11 @@
         double failureShare = candidate.failures().failureShare(attempts.requestClass(), now);
         score *= (1 + JITTER * random.nextDouble())
                 * (1 + FAILURE_PENALTY * failureShare)
-                * (attempts.wasSentTo(candidate) ? USED_BEFORE_PENALTY : 1);
+                * (attempts.wasSentTo(candidate) ? ALREADY_TRIED_PENALTY : 1);
         return score;
     }
 
-    /** Ejections, the scope of retries and slow start: whether this request may go there now. */
+    /** Whether ejection, the retry scope and slow start allow the endpoint to receive this request now. */
     private boolean mayReceive(AttemptHistory attempts, Endpoint endpoint, double warmupFraction, double now) {
         if (endpoint.isEjected(now) || !idempotency.isInScope(attempts, endpoint)) {
             return false;
@@ -91,16 +91,19 @@
                 || endpoint.slowStartBudget().allowsSend(slowStartRate.sendsPerMs(warmupFraction), now);
     }
 
-    /** A retry that has to stay in a zone or cell of which the subset has no other endpoint takes one outside. */
-    private Endpoint orOutsideSubset(AttemptHistory attempts, Endpoint found, double now) {
-        Optional<Attempt> ran = attempts.firstThatMayHaveRun();
-        if (ran.isEmpty() || (found != null && !attempts.wasSentTo(found))) {
+    /**
+     * Returns an endpoint outside the subset for a retry that is limited to a zone or cell in which the subset has no
+     * other endpoint; otherwise returns the endpoint found in the subset.
+     */
+    private Endpoint orElseOutsideSubset(AttemptHistory attempts, Endpoint found, double now) {
+        Optional<Attempt> firstExecuted = attempts.firstThatMayHaveRun();
+        if (firstExecuted.isEmpty() || (found != null && !attempts.wasSentTo(found))) {
             return found;
         }
-        EndpointDescriptor near = ran.get().endpoint().descriptor();
+        EndpointDescriptor firstEndpoint = firstExecuted.get().endpoint().descriptor();
         return endpoints
-                .outsideSubset(attempts.requestClass().retryScope(), near, MAX_LOOKED_AT_OUTSIDE)
-                .filter(listed -> listed.zone().equals(near.zone()))
+                .outsideSubset(attempts.requestClass().retryScope(), firstEndpoint, MAX_CANDIDATES_OUTSIDE_SUBSET)
+                .filter(listed -> listed.zone().equals(firstEndpoint.zone()))
                 .map(listed -> endpoints.find(listed.id()))
                 .filter(other -> !other.isCordoned()
                         && mayReceive(attempts, other, other.ramp().warmupFraction(now), now)
--- a/src/main/java/quotagateway/policy/routing/OutcomeRecorder.java
+++ b/src/main/java/quotagateway/policy/routing/OutcomeRecorder.java
@@ -8,14 +8,14 @@
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.traffic.SendRateLimiter;
 
-/** Tells the estimates of an endpoint, of its request's class and of the send rate what came of an attempt. */
+/** Updates the estimates of an endpoint, of a request class and of the send rate by the outcome of an attempt. */
 public final class OutcomeRecorder {
-    /** An attempt that has failed on an endpoint that answers. */
-    private static final double ORDINARY_FAILURE = 1;
-    /** An endpoint that rejects as it is full is alive: it is spared by its slowness before it is ejected. */
-    private static final double FULL_FAILURE = 0.5;
-    /** One failed connect may be chance; a process that has ended fails the next one, and the trial too. */
-    private static final double UNREACHABLE_FAILURE = 2;
+    /** An attempt that failed at an endpoint that can be reached. */
+    private static final double ORDINARY_FAILURE_WEIGHT = 1;
+    /** An endpoint that rejects for lack of capacity is alive: its slowness lowers its load before it is ejected. */
+    private static final double FULL_FAILURE_WEIGHT = 0.5;
+    /** A single failed connect may be chance; a process that has ended fails the next one, and the trial too. */
+    private static final double UNREACHABLE_FAILURE_WEIGHT = 2;
 
     private final EndpointRegistry endpoints;
     private final SendRateLimiter limiter;
@@ -27,7 +27,7 @@
         this.clock = clock;
     }
 
-    /** An attempt has ended; called once for each, after the endpoint was told. */
+    /** Records the outcome of an attempt; called once for each attempt, after {@link Endpoint} has ended it. */
     public void record(Endpoint endpoint, ClassLatency classLatency, CallOutcome outcome, double tookMs) {
         RequestClass requestClass = classLatency.requestClass();
         double now = clock.now();
@@ -43,19 +43,19 @@
             case FULL -> {
                 endpoint.failures().recordFailure(requestClass, now);
                 endpoint.latency().recordFull(now);
-                onFailure(endpoint, FULL_FAILURE);
+                onFailure(endpoint, FULL_FAILURE_WEIGHT);
             }
             case NO_CONNECTION -> {
                 endpoint.failures().recordFailure(requestClass, now);
                 endpoint.outlierDetector().recordUnreachable();
-                onFailure(endpoint, UNREACHABLE_FAILURE);
+                onFailure(endpoint, UNREACHABLE_FAILURE_WEIGHT);
             }
             case RESET -> {
                 endpoint.failures().recordFailure(requestClass, now);
-                onFailure(endpoint, ORDINARY_FAILURE); // a process that has ended resets all of its connections
+                onFailure(endpoint, ORDINARY_FAILURE_WEIGHT); // a process that has ended resets all of its connections
             }
             case ERROR -> endpoint.failures().recordFailure(requestClass, now);
-            case CANCELLED, NOT_SENT -> {} // say nothing of the endpoint
+            case CANCELLED, NOT_SENT -> {} // no evidence about the endpoint
         }
     }
 
@@ -65,7 +65,7 @@
         classLatency.record(tookMs);
         adaptLimits(endpoint, classLatency, tookMs);
         if (endpoint.outlierDetector().mayHaveRestarted()) {
-            endpoints.startSlowStart(endpoint, now); // the list may say so later
+            endpoints.startSlowStart(endpoint, now); // the endpoint list may report the restart later
         }
         endpoint.outlierDetector().recordSuccess();
     }
@@ -74,10 +74,10 @@
         endpoint.latency().record(Math.max(1, tookMs / classLatency.meanMs()), clock.now());
         classLatency.recordAtLeast(tookMs);
         adaptLimits(endpoint, classLatency, tookMs);
-        onFailure(endpoint, ORDINARY_FAILURE);
+        onFailure(endpoint, ORDINARY_FAILURE_WEIGHT);
     }
 
-    /** Attempts that took longer were counted by the send rate when they became late. */
+    /** Adapts the send rate and the concurrency limit; the send rate has counted a late attempt when it became late. */
     private void adaptLimits(Endpoint endpoint, ClassLatency classLatency, double tookMs) {
         double objectiveMs = classLatency.requestClass().latencyObjective();
         if (tookMs <= objectiveMs * SendRateLimiter.LATE_PART_OF_OBJECTIVE) {
@@ -86,7 +86,7 @@
         endpoint.concurrencyLimit().record(tookMs, objectiveMs, endpoint.inFlight());
     }
 
-    /** Ejects the endpoint on enough evidence, as long as the fleet can spare it. */
+    /** Counts a failure; ejects the endpoint on enough evidence if the fleet can spare another endpoint. */
     private void onFailure(Endpoint endpoint, double weight) {
         double now = clock.now();
         if (endpoint.outlierDetector().recordFailure(weight, now) && endpoints.canSpareOneMore()) {
--- a/src/main/java/quotagateway/policy/routing/package-info.java
+++ b/src/main/java/quotagateway/policy/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The choice of an endpoint for an attempt, and what the end of the attempt teaches. */
+/** Selection of an endpoint for an attempt, and evaluation of the attempt's outcome. */
 package quotagateway.policy.routing;
--- a/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
+++ b/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
@@ -84,7 +84,7 @@
         permits = Math.min(burst(), permits + ratePerSecond * (now - refilledAt) / 1000);
         refilledAt = now;
         if (permits < 1 && now >= wakeUpAt) {
-            wakeUpAt = now + Math.max(settings.tick(), (1 - permits) / ratePerSecond * 1000);
+            wakeUpAt = now + Math.max(settings.timerResolutionMs(), (1 - permits) / ratePerSecond * 1000);
             timers.scheduleWakeUp(wakeUpAt);
         }
         return permits >= 1;
--- a/src/main/java/quotagateway/scale/ScaleSettings.java
+++ b/src/main/java/quotagateway/scale/ScaleSettings.java
@@ -105,7 +105,7 @@
                 nodeIndex,
                 nodes,
                 EndpointInventory.zoneName(nodeIndex % zones),
-                first.tick(),
+                first.timerResolutionMs(),
                 first.mustSubscribe(),
                 first.reportsActualUnits(),
                 first.maxUnits(),
--- a/src/main/java/quotagateway/scale/SimulatedNode.java
+++ b/src/main/java/quotagateway/scale/SimulatedNode.java
@@ -155,7 +155,7 @@
             onAttemptEnded(attempt, CallOutcome.TIMEOUT);
         }
         if (!request.completed) {
-            later(settings.rules().answerGrace(), () -> complete(request, () -> failed++));
+            later(settings.rules().responseGrace(), () -> complete(request, () -> failed++));
         }
     }
 
@@ -226,7 +226,7 @@
     // ---- actions of the policy ----
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
         PendingRequest request = pendingRequests.get(requestId);
         if (request == null) {
             return;
@@ -276,7 +276,7 @@
     public void checkHealth(String endpoint) {}
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
+    public void addToCounter(long name, double amount, double ttlMs) {
         counterCalls++;
         peers.addToCounter(this, name, amount);
     }
--- a/src/main/java/quotagateway/simulator/ActionWriter.java
+++ b/src/main/java/quotagateway/simulator/ActionWriter.java
@@ -17,9 +17,9 @@
     }
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
         messages.append("PLACE\t").append(requestId).append('\t').append(endpoint);
-        messages.append('\t').append(decimal(until)).append('\n');
+        messages.append('\t').append(decimal(timeoutAt)).append('\n');
     }
 
     @Override
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
-        messages.append("ADD_TO\t").append(decimal(amount)).append('\t').append(decimal(keepForMs));
+    public void addToCounter(long name, double amount, double ttlMs) {
+        messages.append("ADD_TO\t").append(decimal(amount)).append('\t').append(decimal(ttlMs));
         messages.append('\t').append(name).append('\n');
     }
 
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -189,13 +189,13 @@
     // The host's side: attempts succeed, the counter adds, timers go by the clock of the rounds.
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
         pendingEvents.add(
                 () -> policy.onAttemptEnded(now, requestId, 0, CallOutcome.OK, STEP_MS, true, 0, EndpointPool.NO_LOAD));
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
+    public void addToCounter(long name, double amount, double ttlMs) {
         double total = counterTotals.merge(name, amount, Double::sum);
         pendingEvents.add(() -> policy.onCounterReply(now, name, CallOutcome.OK, 1, total));
     }
--- a/src/test/java/quotagateway/counter/CounterProtocolTest.java
+++ b/src/test/java/quotagateway/counter/CounterProtocolTest.java
@@ -24,9 +24,8 @@
         "123456789, 60001, 123456789, 60000"
     })
     void addIsWrittenInThousandthsWithALifeWithinItsBounds(
-            double amount, double keepForMs, String amountText, String lifeText) {
-        assertArrayEquals(
-                new String[] {"CNT.ADD", "-7", amountText, lifeText}, CounterProtocol.add(-7, amount, keepForMs));
+            double amount, double ttlMs, String amountText, String lifeText) {
+        assertArrayEquals(new String[] {"CNT.ADD", "-7", amountText, lifeText}, CounterProtocol.add(-7, amount, ttlMs));
     }
 
     private static FullBulkStringRedisMessage bulk(String text) {
--- a/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
+++ b/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
@@ -24,7 +24,7 @@
                 none.nodeIndex(),
                 none.nodeCount(),
                 none.zone(),
-                none.tick(),
+                none.timerResolutionMs(),
                 none.mustSubscribe(),
                 none.reportsActualUnits(),
                 none.maxUnits(),
--- a/src/test/java/quotagateway/policy/CounterCallPacingTest.java
+++ b/src/test/java/quotagateway/policy/CounterCallPacingTest.java
@@ -122,7 +122,7 @@
             gateway.start().listEndpoints(2000);
             gateway.request(1, "read", "slow", "c", 2, spread);
             gateway.replyToCounterCalls(OK);
-            gateway.othersTake(7);
+            gateway.otherGatewaysClaim(7);
             gateway.request(2, "read", "slow", "c", 2, spread);
             while (!gateway.counterCalls.isEmpty()) {
                 gateway.replyToCounterCalls(OK);
--- a/src/test/java/quotagateway/policy/CounterDriftTest.java
+++ b/src/test/java/quotagateway/policy/CounterDriftTest.java
@@ -110,9 +110,9 @@
     void lowReadingIsNoBoundForTheNext() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         QuotaScenarios.sentOfBurst(gateway, 10_000, 6);
-        gateway.othersTake(4);
+        gateway.otherGatewaysClaim(4);
         QuotaScenarios.sentOfBurst(gateway, 10_100, 1);
-        gateway.othersTake(-4); // given back
+        gateway.otherGatewaysClaim(-4); // given back
         QuotaScenarios.sentOfBurst(gateway, 10_610, 0);
         double before = gateway.counter.values().iterator().next();
         QuotaScenarios.sentOfBurst(gateway, 10_611, 3);
--- a/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
+++ b/src/test/java/quotagateway/policy/EndpointSubsetBenchmark.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void sendAttempt(long id, String server, double until) {
+    public void sendAttempt(long id, String server, double timeoutAt) {
         double took = 10 + 40 * random.nextDouble();
         sent++;
         ends.add(new double[] {now + took, id, took});
--- a/src/test/java/quotagateway/policy/PolicyFilesTest.java
+++ b/src/test/java/quotagateway/policy/PolicyFilesTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file's {@code policy} key names the files of the decision module. */
+/** Checks that the {@code policy} key of the deploy file names exactly the files of the decision module. */
 class PolicyFilesTest {
     private static final Path SOURCES = Path.of("src/main/java/quotagateway/policy");
 
@@ -42,8 +42,8 @@
         for (String file : listedFiles()) {
             lines.addAll(Files.readAllLines(Path.of(file)));
         }
-        long used = lines.stream().filter(l -> !l.isBlank()).count();
-        assertTrue(used > 1000, "lines: " + used);
+        long nonBlankLines = lines.stream().filter(l -> !l.isBlank()).count();
+        assertTrue(nonBlankLines > 1000, "lines that are not blank: " + nonBlankLines);
         assertTrue(lines.contains("public final class Policy implements PolicyEvents {"));
     }
 }
--- a/src/test/java/quotagateway/policy/PolicyHarness.java
+++ b/src/test/java/quotagateway/policy/PolicyHarness.java
@@ -20,7 +20,10 @@
 import quotagateway.policy.api.RetryScope;
 import quotagateway.policy.api.ServiceRules;
 
-/** A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on demand. */
+/**
+ * A host of one policy for tests, with a fake clock. Records every action as a line of text; timers fire when a test
+ * advances the clock.
+ */
 final class PolicyHarness implements PolicyActions {
     record CounterCall(long name, double total) {}
 
@@ -30,15 +33,15 @@
     final List<Timer> timers = new ArrayList<>();
     /** Counter calls that have no reply yet, with the total that each led to. */
     final List<CounterCall> counterCalls = new ArrayList<>();
-    /** The servers that the module uses at present. */
+    /** The endpoints that the policy retains at present. */
     final Set<String> retained = new TreeSet<>();
 
     Map<Long, Double> counter = new HashMap<>();
     int gatewayIndex;
     long seed = 7;
     int gatewayCount = 2;
-    private double otherUnits;
-    private double othersAt;
+    private double unitsClaimedByOthers;
+    private double othersClaimedAt;
     double now;
     Policy policy;
     List<RequestClass> classes = List.of(
@@ -58,7 +61,7 @@
     boolean mustSubscribe;
     int maxUnits = 1;
 
-    /** Without a counter: the even part is there at once, so that a test of servers need not mind quotas. */
+    /** Without a counter the even share of a quota is available immediately: tests of endpoints need no quota. */
     static PolicyHarness withoutCounter() {
         PolicyHarness gateway = new PolicyHarness();
         gateway.sharedCounter = false;
@@ -87,13 +90,13 @@
                 new CostWeights(0.05, 0.01, 0.02, 0, 0.03));
     }
 
-    /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
-    PolicyHarness listEndpoints(int n) {
-        List<EndpointDescriptor> list = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            list.add(endpoint(i, EndpointState.UP, 0));
+    /** Lists endpoints from s0 on: two in each cell, and the cells alternate between zones a and b. */
+    PolicyHarness listEndpoints(int count) {
+        List<EndpointDescriptor> endpoints = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            endpoints.add(endpoint(i, EndpointState.UP, 0));
         }
-        policy.onEndpoints(now, list, true);
+        policy.onEndpoints(now, endpoints, true);
         return this;
     }
 
@@ -101,39 +104,40 @@
         return new EndpointDescriptor("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1, 0);
     }
 
-    /** Other gateways add to every name, at this rate since the last time. */
-    void othersTakePerSecond(double perSecond) {
-        otherUnits = (now - othersAt) / 1000 * perSecond;
-        othersAt = now;
-        counter.replaceAll((name, sum) -> sum + otherUnits);
+    /** Adds to every total what other gateways claim at this rate, for the time since the last call. */
+    void otherGatewaysClaimPerSecond(double unitsPerSecond) {
+        unitsClaimedByOthers = (now - othersClaimedAt) / 1000 * unitsPerSecond;
+        othersClaimedAt = now;
+        counter.replaceAll((name, sum) -> sum + unitsClaimedByOthers);
     }
 
-    /** Other gateways have taken so much of every name. */
-    void othersTake(double units) {
+    /** Adds units that other gateways have claimed to every total. */
+    void otherGatewaysClaim(double units) {
         counter.replaceAll((name, sum) -> sum + units);
     }
 
-    /** Answers the calls made so far, with the totals that stood when they were made. */
+    /** Replies to the calls made so far, with the totals at the time of each call. */
     void replyToCounterCalls(CallOutcome outcome) {
-        for (int n = counterCalls.size(); n > 0; n--) {
+        for (int count = counterCalls.size(); count > 0; count--) {
             CounterCall call = counterCalls.remove(0);
             policy.onCounterReply(now, call.name(), outcome, 2, call.total());
         }
     }
 
-    void request(long id, String type, String plan, String customer) {
-        request(id, type, plan, customer, 1, 2);
+    void request(long id, String requestClass, String plan, String customer) {
+        request(id, requestClass, plan, customer, 1, 2);
     }
 
-    void request(long id, String type, String plan, String customer, int units, int spread) {
-        policy.onRequest(now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
+    void request(long id, String requestClass, String plan, String customer, int units, int sharingGateways) {
+        policy.onRequest(
+                now, new IncomingRequest(id, requestClass, plan, customer, 2000, units, sharingGateways, 0, false));
     }
 
     void endAttempt(long id, int attempt, CallOutcome outcome) {
         policy.onAttemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
     }
 
-    /** Advances the clock, firing the timers that fall due. */
+    /** Advances the clock and fires the timers that are due by then. */
     void advanceTo(double time) {
         while (true) {
             Timer next = null;
@@ -156,7 +160,7 @@
         return log.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
-    /** The server of the last send of a request. */
+    /** Returns the endpoint of the last attempt of a request, or null if it has no attempt. */
     String lastEndpointOf(long id) {
         String found = null;
         for (String line : log) {
@@ -168,8 +172,8 @@
     }
 
     @Override
-    public void sendAttempt(long id, String server, double until) {
-        log.add("send " + id + " " + server);
+    public void sendAttempt(long id, String endpoint, double timeoutAt) {
+        log.add("send " + id + " " + endpoint);
     }
 
     @Override
@@ -178,7 +182,7 @@
     }
 
     @Override
-    public void reject(long id, double retryAfter) {
+    public void reject(long id, double retryAfterMs) {
         log.add("refuse " + id);
     }
 
@@ -188,17 +192,17 @@
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        timers.add(new Timer(now + delay, token));
+    public void scheduleTimer(double delayMs, long token) {
+        timers.add(new Timer(now + delayMs, token));
     }
 
     @Override
-    public void checkHealth(String server) {
-        log.add("probe " + server);
+    public void checkHealth(String endpoint) {
+        log.add("check " + endpoint);
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double ttlMs) {
         log.add("count " + amount);
         counterCalls.add(new CounterCall(name, counter.merge(name, amount, Double::sum)));
     }
@@ -209,19 +213,19 @@
     }
 
     @Override
-    public void withdrawQueuedAttempts(String server) {
-        log.add("withdraw " + server);
+    public void withdrawQueuedAttempts(String endpoint) {
+        log.add("withdraw " + endpoint);
     }
 
     @Override
-    public void retainEndpoint(EndpointDescriptor server) {
-        log.add("keep " + server.id());
-        retained.add(server.id());
+    public void retainEndpoint(EndpointDescriptor endpoint) {
+        log.add("retain " + endpoint.id());
+        retained.add(endpoint.id());
     }
 
     @Override
-    public void releaseEndpoint(String server) {
-        log.add("release " + server);
-        retained.remove(server);
+    public void releaseEndpoint(String endpoint) {
+        log.add("release " + endpoint);
+        retained.remove(endpoint);
     }
 }
--- a/src/test/java/quotagateway/policy/PolicyRulesTest.java
+++ b/src/test/java/quotagateway/policy/PolicyRulesTest.java
@@ -10,20 +10,21 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointState;
 
+/** Checks the rules that the policy as a unit follows: responses, retries, slow start, send rate and hard limits. */
 class PolicyRulesTest {
     @Test
     void everyRequestGetsOneResponseByItsDeadline() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(2);
         gateway.request(1, "once", "big", "c");
         gateway.advanceTo(2015);
-        assertEquals(1, gateway.countActions("fail 1"), "sent, never answered: failed at the deadline");
+        assertEquals(1, gateway.countActions("fail 1"), "sent without a response: failed at the deadline");
         gateway.endAttempt(1, 0, CallOutcome.CANCELLED);
         gateway.advanceTo(4000);
         assertEquals(1, gateway.countActions("fail 1") + gateway.countActions("refuse 1"));
     }
 
     @Test
-    void waitingRequestIsRejectedWhereThereIsNoEndpoint() {
+    void waitingRequestIsRejectedIfThereIsNoEndpoint() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start();
         gateway.request(1, "once", "big", "c");
         gateway.advanceTo(2000);
@@ -32,7 +33,7 @@
     }
 
     @Test
-    void nonIdempotentRequestIsRetriedOnlyWhenItNeverRan() {
+    void nonIdempotentRequestIsRetriedOnlyIfItWasNotExecuted() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(4);
         gateway.request(1, "once", "big", "c");
         gateway.endAttempt(1, 0, CallOutcome.FULL);
@@ -43,18 +44,18 @@
         assertEquals(0, gateway.countActions("refuse 1"));
     }
 
-    /** It was never written: the endpoint began to drain while the attempt waited for a connection. */
+    /** The attempt is never written: its endpoint begins to drain while the attempt waits for a connection. */
     @Test
-    void requestWhoseEndpointBeganToDrainBeforeTheWriteIsRetriedElsewhereAtOnce() {
+    void requestWhoseEndpointDrainsBeforeTheWriteIsRetriedElsewhereImmediately() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(4);
         gateway.request(1, "once", "big", "c");
         String first = gateway.lastEndpointOf(1);
         int number = Integer.parseInt(first.substring(1));
         gateway.policy.onEndpoints(
                 gateway.now, List.of(PolicyHarness.endpoint(number, EndpointState.DRAINING, 0)), false);
-        assertEquals(1, gateway.countActions("send 1"), "the attempt that waits is ended by the node");
+        assertEquals(1, gateway.countActions("send 1"), "the node ends the waiting attempt");
         gateway.endAttempt(1, 0, CallOutcome.NO_CONNECTION);
-        assertEquals(2, gateway.countActions("send 1"), "in the same event");
+        assertEquals(2, gateway.countActions("send 1"), "retried in the same event");
         assertNotEquals(first, gateway.lastEndpointOf(1));
     }
 
@@ -88,14 +89,14 @@
         gateway.request(1, "all", "big", "c");
         long before = gateway.countActions("send 1");
         gateway.advanceTo(399);
-        assertEquals(before, gateway.countActions("send 1"), "one attempt is out, and no copy may be");
+        assertEquals(before, gateway.countActions("send 1"), "an attempt is in flight, and hedging is forbidden");
         gateway.endAttempt(1, 0, CallOutcome.ERROR);
         gateway.advanceTo(600);
-        assertEquals(before, gateway.countActions("send 1"), "the window of 400 ms has passed");
+        assertEquals(before, gateway.countActions("send 1"), "the idempotency window of 400 ms has passed");
     }
 
     @Test
-    void neverTwoAttemptsInFlightWhereHedgingIsForbidden() {
+    void neverTwoAttemptsInFlightIfHedgingIsForbidden() {
         PolicyHarness gateway = PolicyHarness.withoutCounter();
         gateway.hedging = false;
         gateway.start().listEndpoints(4);
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void drainingEndpointGetsNothingNew() {
+    void drainingEndpointGetsNoNewRequests() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(2);
         gateway.policy.onEndpoints(gateway.now, List.of(PolicyHarness.endpoint(0, EndpointState.DRAINING, 0)), false);
         for (int i = 1; i <= 4; i++) {
@@ -117,7 +118,7 @@
     }
 
     @Test
-    void endpointInSlowStartIsSentNoMoreThanItsBudget() {
+    void endpointInSlowStartGetsNoMoreThanItsBudget() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(2);
         gateway.now = 1000;
         gateway.policy.onEndpoints(gateway.now, List.of(PolicyHarness.endpoint(0, EndpointState.UP, 900)), false);
@@ -128,33 +129,37 @@
                 gateway.endAttempt(i - 40, 0, CallOutcome.OK);
             }
         }
-        long toCold = gateway.log.stream()
+        long sentToSlowStart = gateway.log.stream()
                 .filter(l -> l.startsWith("send") && l.endsWith(" s0"))
                 .count();
-        assertTrue(toCold >= 1 && toCold <= 25, "a quarter is 50, half of them would be 25: " + toCold);
+        assertTrue(
+                sentToSlowStart >= 1 && sentToSlowStart <= 25,
+                "a quarter is 50, half of that would be 25: " + sentToSlowStart);
     }
 
     @Test
-    void hundredGatewaysTogetherKeepTheSlowStartBudget() {
-        int toCold = 0;
+    void hundredGatewaysTogetherStayWithinTheSlowStartBudget() {
+        int sentToSlowStart = 0;
         for (int n = 0; n < 100; n++) {
             PolicyHarness gateway = PolicyHarness.withoutCounter();
             gateway.seed = n;
             gateway.start().listEndpoints(4);
             long id = 0;
-            for (int t = 0; t < 4000; t += 400) { // 2.5 a second at each gateway, 62 at a server
+            for (int t = 0; t < 4000; t += 400) { // 2.5 per second at each gateway, 62 at each endpoint
                 gateway.advanceTo(t);
                 if (t == 2000) {
                     gateway.policy.onEndpoints(t, List.of(PolicyHarness.endpoint(0, EndpointState.UP, 1900)), false);
                 }
                 gateway.request(++id, "read", "big", "c");
-                toCold += t >= 2000 && "s0".equals(gateway.lastEndpointOf(id)) ? 1 : 0;
-                if (t < 1200) { // later ones stay out, so that the cold server looks idle
+                sentToSlowStart += t >= 2000 && "s0".equals(gateway.lastEndpointOf(id)) ? 1 : 0;
+                if (t < 1200) { // later ones stay in flight, so that the cold endpoint looks idle
                     gateway.endAttempt(id, 0, CallOutcome.OK);
                 }
             }
         }
-        assertTrue(toCold > 0 && toCold < 60, "in 2 s a warm one gets 125, a fifth of it is 25: " + toCold);
+        assertTrue(
+                sentToSlowStart > 0 && sentToSlowStart < 60,
+                "a warm endpoint gets 125 in 2 s, a fifth of that is 25: " + sentToSlowStart);
     }
 
     @Test
@@ -184,12 +189,12 @@
                 gateway.log.stream().filter(l -> l.matches("send \\d\\d? s0")).count();
         long others =
                 gateway.log.stream().filter(l -> l.matches("send 1\\d\\d s0")).count();
-        assertTrue(failed <= 4, "sent to the server that fails the class: " + failed);
-        assertTrue(others >= 5, "the other class is served there: " + others);
+        assertTrue(failed <= 4, "sent to the endpoint that fails the class: " + failed);
+        assertTrue(others >= 5, "requests of the other class sent there: " + others);
     }
 
     @Test
-    void idempotentRequestIsRetriedElsewhereHoweverManyFail() {
+    void idempotentRequestsAreRetriedElsewhereEvenIfManyFail() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(4);
         for (int i = 0; i < 30; i++) {
             gateway.advanceTo(i * 100);
@@ -224,7 +229,7 @@
     }
 
     @Test
-    void hardLimitStartsEmptyAndFillsAtTheEvenPart() {
+    void hardLimitStartsEmptyAndFillsAtTheEvenShare() {
         PolicyHarness gateway = PolicyHarness.withoutCounter().start().listEndpoints(4);
         for (int i = 0; i < 100; i++) {
             gateway.advanceTo(i * 50);
@@ -235,7 +240,7 @@
                 .map(l -> l.split(" ", 0)[1])
                 .distinct()
                 .count();
-        assertTrue(sent >= 8 && sent <= 10, "2 a second for 5 s: " + sent);
+        assertTrue(sent >= 8 && sent <= 10, "2 per second for 5 s: " + sent);
     }
 
     @Test
@@ -252,21 +257,24 @@
         assertNull(gateway.lastEndpointOf(99));
     }
 
-    /** One failed connect, or reset, is no restart: warm servers were sent as little as cold ones. */
+    /**
+     * Guards against a single failed connect or reset being taken for a restart: warm endpoints then got as few
+     * requests as cold ones.
+     */
     @Test
     void oneFailedConnectDoesNotStartSlowStart() {
-        for (CallOutcome chance : List.of(CallOutcome.NO_CONNECTION, CallOutcome.RESET)) {
+        for (CallOutcome outcome : List.of(CallOutcome.NO_CONNECTION, CallOutcome.RESET)) {
             PolicyHarness gateway = PolicyHarness.withoutCounter();
-            gateway.gatewayCount = 1; // or the first pace is the bound
+            gateway.gatewayCount = 1; // with more gateways the initial send rate is the bound
             gateway.start().listEndpoints(1);
             gateway.request(1, "read", "big", "c");
-            gateway.endAttempt(1, 0, chance);
+            gateway.endAttempt(1, 0, outcome);
             gateway.endAttempt(1, 1, CallOutcome.OK);
             long before = gateway.countActions("send");
             for (int i = 10; i < 20; i++) {
                 gateway.request(i, "read", "big", "c");
             }
-            assertEquals(4, gateway.countActions("send") - before, "as many as a warm server gets: " + chance);
+            assertEquals(4, gateway.countActions("send") - before, "as many as a warm endpoint gets: " + outcome);
         }
     }
 }
--- a/src/test/java/quotagateway/policy/QuotaClaimTest.java
+++ b/src/test/java/quotagateway/policy/QuotaClaimTest.java
@@ -64,7 +64,7 @@
         for (int i = 0; i < 20; i++) {
             gateway.request(i, "read", "rate", "c");
         }
-        gateway.othersTake(4);
+        gateway.otherGatewaysClaim(4);
         gateway.replyToCounterCalls(OK);
         gateway.replyToCounterCalls(OK);
         assertEquals(4, gateway.countActions("send"), "what is left of the burst");
@@ -98,7 +98,7 @@
         for (int i = 0; i < 20; i++) {
             gateway.request(i, "read", "rate", "c");
         }
-        gateway.othersTake(4);
+        gateway.otherGatewaysClaim(4);
         gateway.replyToCounterCalls(OK); // the claim of the first
         gateway.replyToCounterCalls(OK); // of the rest
         assertEquals(1, gateway.counterCalls.size(), gateway.log.toString());
--- a/src/test/java/quotagateway/policy/QuotaScenarios.java
+++ b/src/test/java/quotagateway/policy/QuotaScenarios.java
@@ -18,7 +18,7 @@
         long before = 0;
         for (int i = 0; i < 600; i++) {
             gateway.advanceTo(i * 20);
-            gateway.othersTakePerSecond(othersPerSecond);
+            gateway.otherGatewaysClaimPerSecond(othersPerSecond);
             gateway.replyToCounterCalls(outcome);
             if (i == 400) {
                 before = gateway.countActions("send");
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void sendAttempt(long id, String server, double until) {
+        public void sendAttempt(long id, String server, double timeoutAt) {
             fleet.sent(this, id, server);
         }
 
--- a/src/test/java/quotagateway/policy/endpoint/CordonsTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/CordonsTest.java
@@ -15,7 +15,7 @@
 import quotagateway.policy.slowstart.FleetSizeEstimator;
 import quotagateway.policy.slowstart.SlowStartRate;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
@@ -23,7 +23,7 @@
 import quotagateway.policy.traffic.TrafficMeter;
 
 class CordonsTest {
-    private final PolicySettings settings = PolicyValues.settings(2);
+    private final PolicySettings settings = PolicyFixtures.settings(2);
     private final EventClock clock = new EventClock(100_000);
     private final RecordingActions host = new RecordingActions();
     private final LatencyObjectives objectives = new LatencyObjectives(800, 800);
@@ -46,7 +46,7 @@
     void listEndpoints() {
         endpoints.update(
                 IntStream.range(0, 3)
-                        .mapToObj(number -> PolicyValues.endpoint(number, EndpointState.UP))
+                        .mapToObj(number -> PolicyFixtures.endpoint(number, EndpointState.UP))
                         .toList(),
                 true);
         endpoints.refresh(true, 0);
--- a/src/test/java/quotagateway/policy/endpoint/EndpointCatalogTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointCatalogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.EndpointDescriptor;
 import quotagateway.policy.api.EndpointState;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 class EndpointCatalogTest {
     private static final int BUCKETS = 5;
@@ -21,7 +21,7 @@
 
     private static List<EndpointDescriptor> endpoints(int from, int to, EndpointState state) {
         return IntStream.range(from, to)
-                .mapToObj(number -> PolicyValues.endpoint(number, state))
+                .mapToObj(number -> PolicyFixtures.endpoint(number, state))
                 .toList();
     }
 
@@ -34,7 +34,7 @@
     @Test
     void listedEndpointIsFoundAsItWasListed() {
         catalog.update(endpoints(0, 100, EndpointState.UP), true);
-        assertEquals(PolicyValues.endpoint(42, EndpointState.UP), catalog.get("s42"));
+        assertEquals(PolicyFixtures.endpoint(42, EndpointState.UP), catalog.get("s42"));
         assertNull(catalog.get("s100"));
         assertEquals(100, catalog.size());
         assertEquals(100, catalog.upCount());
--- a/src/test/java/quotagateway/policy/endpoint/EndpointRegistryTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
 import quotagateway.policy.health.ClassLatency;
 import quotagateway.policy.slowstart.FleetSizeEstimator;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 
@@ -24,12 +24,12 @@
     private final RecordingActions host = new RecordingActions();
     private final FleetSizeEstimator fleetSize = new FleetSizeEstimator();
     private final EndpointRegistry endpoints = new EndpointRegistry(
-            PolicyValues.settings(2), new LatencyObjectives(800, 800), clock, host, new Random(1), fleetSize);
+            PolicyFixtures.settings(2), new LatencyObjectives(800, 800), clock, host, new Random(1), fleetSize);
 
     private void list(int from, int to, EndpointState state, boolean complete) {
         endpoints.update(
                 IntStream.range(from, to)
-                        .mapToObj(number -> PolicyValues.endpoint(number, state))
+                        .mapToObj(number -> PolicyFixtures.endpoint(number, state))
                         .toList(),
                 complete);
         endpoints.refresh(complete, 0);
@@ -54,7 +54,7 @@
         list(0, 2, EndpointState.UP, true);
         host.take();
         Endpoint draining = endpoints.find("s0");
-        Attempt attempt = draining.startAttempt(new ClassLatency(PolicyValues.READ), clock.now());
+        Attempt attempt = draining.startAttempt(new ClassLatency(PolicyFixtures.READ), clock.now());
         list(0, 1, EndpointState.DRAINING, false);
         assertEquals(List.of("s1"), members());
         assertEquals(List.of(), host.take());
@@ -77,8 +77,8 @@
     void endpointThatHasJustStartedIsInSlowStart() {
         endpoints.update(
                 List.of(
-                        PolicyValues.endpoint(0, EndpointState.UP, 99_000),
-                        PolicyValues.endpoint(1, EndpointState.UP, 1000)),
+                        PolicyFixtures.endpoint(0, EndpointState.UP, 99_000),
+                        PolicyFixtures.endpoint(1, EndpointState.UP, 1000)),
                 true);
         assertFalse(endpoints.find("s0").ramp().isWarm(clock.now()));
         assertTrue(endpoints.find("s1").ramp().isWarm(clock.now()));
--- a/src/test/java/quotagateway/policy/endpoint/EndpointTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointTest.java
@@ -9,17 +9,17 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.EndpointState;
 import quotagateway.policy.health.ClassLatency;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 class EndpointTest {
-    private final Endpoint endpoint = new Endpoint("s0", PolicyValues.RULES, 800);
-    private final ClassLatency read = new ClassLatency(PolicyValues.READ); // 100 ms in the mean
+    private final Endpoint endpoint = new Endpoint("s0", PolicyFixtures.RULES, 800);
+    private final ClassLatency read = new ClassLatency(PolicyFixtures.READ); // 100 ms in the mean
 
     @Test
     void laterStartInTheListMeansARestart() {
-        assertFalse(endpoint.describe(PolicyValues.endpoint(0, EndpointState.UP, 100)), "the first one known");
-        assertFalse(endpoint.describe(PolicyValues.endpoint(0, EndpointState.DRAINING, 100)));
-        assertTrue(endpoint.describe(PolicyValues.endpoint(0, EndpointState.UP, 200)));
+        assertFalse(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.UP, 100)), "the first one known");
+        assertFalse(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.DRAINING, 100)));
+        assertTrue(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.UP, 200)));
     }
 
     @Test
@@ -57,11 +57,11 @@
     @Test
     void newProcessIsJudgedAnew() {
         endpoint.latency().record(10, 0);
-        endpoint.failures().recordFailure(PolicyValues.READ, 0);
+        endpoint.failures().recordFailure(PolicyFixtures.READ, 0);
         endpoint.outlierDetector().eject(0);
         endpoint.forgetFormerProcess();
         assertEquals(1, endpoint.slowness(0));
-        assertEquals(0, endpoint.failures().failureShare(PolicyValues.READ, 0));
+        assertEquals(0, endpoint.failures().failureShare(PolicyFixtures.READ, 0));
         assertFalse(endpoint.isEjected(0));
     }
 
--- a/src/test/java/quotagateway/policy/golden/FakeClients.java
+++ b/src/test/java/quotagateway/policy/golden/FakeClients.java
@@ -5,9 +5,9 @@
 import quotagateway.policy.api.QuotaPlan;
 import quotagateway.policy.api.RequestClass;
 
-/** The clients of all nodes: random arrivals on a load curve, and retries of some of what was rejected. */
+/** The simulated clients of all nodes: random arrivals on a load curve, and retries of some rejected requests. */
 final class FakeClients {
-    /** The load in each second, as a factor; it begins anew at its end. */
+    /** The load in each second, as a factor of the mean; the curve is repeated. */
     private static final double[] LOAD_CURVE = {1, 1, 1, 1, 3, 3, 0.3, 0.3, 1, 1.5, 0.05, 0.05, 1, 2};
 
     private static final int UNKNOWN_NAME_EVERY = 400;
@@ -23,15 +23,15 @@
         this.random = random;
     }
 
-    /** Sends requests to a node for ever; those that come while its process is down are lost. */
-    void callForever(FakeNode node, int index) {
+    /** Sends requests to a node indefinitely; requests that arrive while its process is down are lost. */
+    void scheduleRequests(FakeNode node, int index) {
         double load = LOAD_CURVE[(int) (timeline.now() / 1000) % LOAD_CURVE.length];
         double gapMs = -Math.log(1 - random.nextDouble()) * 1000 / (scenario.requestsPerSecond() * load);
         timeline.after(Math.min(gapMs, 1000), () -> {
             if (node.isRunning() && gapMs < 1000) {
                 node.onRequest(request(index));
             }
-            callForever(node, index);
+            scheduleRequests(node, index);
         });
     }
 
@@ -39,24 +39,24 @@
         RequestClass requestClass = scenario.requestClasses()
                 .get(random.nextInt(scenario.requestClasses().size()));
         QuotaPlan plan = scenario.plans().get(random.nextInt(scenario.plans().size()));
-        // the first customers call most
+        // customers with low numbers send the most requests
         int customer = (int) (scenario.customersPerPlan() * random.nextDouble() * random.nextDouble());
         int gatewayCount = Math.min(scenario.nodeCount(), 1 + customer % 3 * (scenario.nodeCount() - 1) / 2);
         int firstGateway = Math.floorMod(node - random.nextInt(gatewayCount), scenario.nodeCount());
-        double patience = random.nextInt(3) > 0 ? 1 : 0.1 + 0.8 * random.nextDouble();
+        double timeoutFraction = random.nextInt(3) > 0 ? 1 : 0.1 + 0.8 * random.nextDouble();
         return new IncomingRequest(
                 nextRequestId++,
                 random.nextInt(UNKNOWN_NAME_EVERY) == 0 ? "unknown" : requestClass.name(),
                 random.nextInt(UNKNOWN_NAME_EVERY) == 0 ? "unknown" : plan.name(),
                 "customer" + customer,
-                requestClass.deadline() * patience,
+                requestClass.deadline() * timeoutFraction,
                 1 + (int) (scenario.maxUnits() * random.nextDouble() * random.nextDouble()),
                 gatewayCount,
                 firstGateway,
                 false);
     }
 
-    /** A rejected client comes back once in three times, when it was told to. */
+    /** One in three rejected clients retries, after a delay that depends on the retry-after time. */
     void onRejected(FakeNode node, IncomingRequest rejected, double retryAfterMs) {
         if (random.nextInt(3) > 0) {
             return;
--- a/src/test/java/quotagateway/policy/golden/FakeCounter.java
+++ b/src/test/java/quotagateway/policy/golden/FakeCounter.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 import quotagateway.policy.api.CallOutcome;
 
-/** The shared counter: one queue of calls served at a limited rate, and faults on demand. */
+/** A simulated shared counter that serves one queue of calls at a limited rate, with faults on demand. */
 final class FakeCounter {
     /** How the counter behaves at present. */
     enum Mode {
         HEALTHY,
-        /** Adds, and replies to most calls late. */
+        /** Adds, but replies late to most calls. */
         LATE,
         /** Neither adds nor replies. */
         SILENT,
@@ -18,11 +18,11 @@
         FULL,
         /** Replies with an error without adding. */
         ERROR,
-        /** Breaks the connection; half of the calls were added by then. */
+        /** Resets the connection; half of the calls are added before that. */
         RESET
     }
 
-    /** Takes the end of a call. */
+    /** Receives the outcome of a call. */
     @FunctionalInterface
     interface Reply {
         void onReply(CallOutcome outcome, double total);
@@ -54,30 +54,30 @@
         mode = next;
     }
 
-    /** Forgets all totals, as a counter that lost its memory. */
-    void loseTotals() {
+    /** Clears all totals, like a counter that has lost its data. */
+    void clearTotals() {
         totals.clear();
     }
 
-    /** Queues a call; its reply comes on the timeline, no later than the time limit. */
-    void add(long name, double amount, double keepForMs, Reply reply) {
-        double asked = timeline.now();
+    /** Queues a call; its reply is scheduled on the timeline, no later than the timeout. */
+    void add(long name, double amount, double ttlMs, Reply reply) {
+        double calledAt = timeline.now();
         switch (mode) {
             case SILENT -> timeline.after(timeoutMs, () -> reply.onReply(CallOutcome.TIMEOUT, 0));
             case FULL -> timeline.after(roundTripMs, () -> reply.onReply(CallOutcome.FULL, 0));
             case ERROR -> timeline.after(roundTripMs, () -> reply.onReply(CallOutcome.ERROR, 0));
             case RESET -> {
                 if (random.nextBoolean()) {
-                    addNow(name, amount, keepForMs);
+                    addNow(name, amount, ttlMs);
                 }
                 timeline.after(roundTripMs, () -> reply.onReply(CallOutcome.RESET, 0));
             }
             default -> {
-                queueEmptyAt = Math.max(queueEmptyAt, asked + roundTripMs / 2) + msPerCall;
+                queueEmptyAt = Math.max(queueEmptyAt, calledAt + roundTripMs / 2) + msPerCall;
                 double repliedAt = queueEmptyAt + roundTripMs / 2 + (mode == Mode.LATE ? timeoutMs * 0.8 : 0);
-                boolean inTime = repliedAt - asked < timeoutMs;
-                timeline.after(queueEmptyAt - asked, () -> {
-                    double total = addNow(name, amount, keepForMs);
+                boolean inTime = repliedAt - calledAt < timeoutMs;
+                timeline.after(queueEmptyAt - calledAt, () -> {
+                    double total = addNow(name, amount, ttlMs);
                     if (inTime) {
                         timeline.after(repliedAt - timeline.now(), () -> reply.onReply(CallOutcome.OK, total));
                     }
@@ -89,11 +89,11 @@
         }
     }
 
-    private double addNow(long name, double amount, double keepForMs) {
+    private double addNow(long name, double amount, double ttlMs) {
         Total total = totals.get(name);
         if (total == null || total.expiresAt <= timeline.now()) {
             total = new Total();
-            total.expiresAt = timeline.now() + keepForMs;
+            total.expiresAt = timeline.now() + ttlMs;
             totals.put(name, total);
         }
         total.sum += amount;
--- a/src/test/java/quotagateway/policy/golden/FakeDiscovery.java
+++ b/src/test/java/quotagateway/policy/golden/FakeDiscovery.java
@@ -9,7 +9,10 @@
 import quotagateway.policy.api.EndpointDescriptor;
 import quotagateway.policy.api.EndpointState;
 
-/** The endpoint list, told to each node after a while of its own: complete, in parts, or as changes. */
+/**
+ * Simulated discovery: sends the endpoint list to each node after a random delay, as a complete list, in parts, or as
+ * changes.
+ */
 final class FakeDiscovery {
     /** Endpoints in each part of a list that comes in parts. */
     private static final int PART_SIZE = 100;
@@ -40,7 +43,7 @@
         return "endpoint" + number;
     }
 
-    /** A process without subscriptions gets the lists from its start on; others ask. */
+    /** Subscribes a process at its start if the scenario needs no subscriptions; otherwise it subscribes itself. */
     void onNodeStarted(FakeNode node) {
         subscribers.remove(node);
         if (!scenario.mustSubscribe()) {
@@ -51,13 +54,13 @@
     void subscribe(FakeNode node) {
         if (available) {
             subscribers.add(node);
-            node.later(random.nextDouble() * MAX_DELAY_MS, () -> tellAll(node));
+            node.later(random.nextDouble() * MAX_DELAY_MS, () -> sendCompleteList(node));
         } else {
             node.later(20, () -> node.policy().onDiscoveryFailed(timeline.now()));
         }
     }
 
-    /** An outage: subscriptions end, and changes are told after it only. */
+    /** Begins an outage: subscriptions end, and changes are sent only after the outage. */
     void fail() {
         available = false;
         for (FakeNode node : List.copyOf(subscribers)) {
@@ -73,20 +76,20 @@
         List.copyOf(subscribers).forEach(this::subscribe);
     }
 
-    /** Changes the state of endpoints and tells the subscribers. */
+    /** Changes the state of endpoints and notifies the subscribers. */
     void change(List<String> ids, EndpointState state, double startedAt) {
         List<EndpointDescriptor> changed = new ArrayList<>();
         for (String id : ids) {
-            EndpointDescriptor old = endpoints.get(id);
+            EndpointDescriptor previous = endpoints.get(id);
             changed.add(new EndpointDescriptor(
                     id,
-                    old.cell(),
-                    old.zone(),
+                    previous.cell(),
+                    previous.zone(),
                     state,
-                    old.kind(),
-                    Math.max(startedAt, old.startedAt()),
-                    old.weight(),
-                    old.address()));
+                    previous.kind(),
+                    Math.max(startedAt, previous.startedAt()),
+                    previous.weight(),
+                    previous.address()));
         }
         changed.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         if (available) {
@@ -98,7 +101,7 @@
         }
     }
 
-    private void tellAll(FakeNode node) {
+    private void sendCompleteList(FakeNode node) {
         List<EndpointDescriptor> listed = endpoints.values().stream()
                 .filter(endpoint -> endpoint.state() != EndpointState.REMOVED)
                 .toList();
@@ -109,9 +112,9 @@
         node.policy().onEndpointListStarted(timeline.now());
         int parts = (listed.size() + PART_SIZE - 1) / PART_SIZE;
         for (int part = 0; part < parts; part++) {
-            List<EndpointDescriptor> some =
+            List<EndpointDescriptor> partOfList =
                     listed.subList(part * PART_SIZE, Math.min(listed.size(), (part + 1) * PART_SIZE));
-            node.later(5.0 * part, () -> node.policy().onEndpoints(timeline.now(), some, false));
+            node.later(5.0 * part, () -> node.policy().onEndpoints(timeline.now(), partOfList, false));
         }
         node.later(5.0 * parts, () -> node.policy().onEndpointListCompleted(timeline.now()));
     }
--- a/src/test/java/quotagateway/policy/golden/FakeEndpoint.java
+++ b/src/test/java/quotagateway/policy/golden/FakeEndpoint.java
@@ -3,14 +3,14 @@
 import java.util.Random;
 import quotagateway.policy.api.CallOutcome;
 
-/** A backend endpoint: slots, a bounded queue, slow start after a restart, and faults on demand. */
+/** A simulated endpoint with slots, a bounded queue, slow start after a restart, and faults on demand. */
 final class FakeEndpoint {
     /** How the endpoint behaves at present. */
     enum Mode {
         HEALTHY,
         /** Serves at a fifth of its speed. */
         SLOW,
-        /** Responds with errors at once. */
+        /** Responds with errors immediately. */
         ERROR,
         /** Rejects everything as full. */
         FULL,
@@ -18,14 +18,14 @@
         SILENT,
         /** Accepts no connections. */
         REFUSING,
-        /** Breaks connections in the middle of a request. */
+        /** Resets connections in the middle of a request. */
         RESETTING
     }
 
     /**
      * How an attempt will end.
      *
-     * @param afterMs time from now to the end; infinite for never
+     * @param afterMs time from now to the end; infinite if it never ends
      */
     record Response(CallOutcome outcome, double afterMs) {}
 
@@ -52,29 +52,29 @@
         startedAt = timeline.now();
     }
 
-    /** Takes an attempt; the caller calls {@link #release} when it has ended. */
+    /** Accepts an attempt; the caller calls {@link #release} when the attempt has ended. */
     Response accept() {
         inFlight++;
-        double servesInMs = serviceMs();
+        double serviceTimeMs = serviceMs();
         return switch (mode) {
             case ERROR -> new Response(CallOutcome.ERROR, 5);
             case FULL -> new Response(CallOutcome.FULL, 1);
             case SILENT -> new Response(CallOutcome.OK, Double.POSITIVE_INFINITY);
             case REFUSING -> new Response(CallOutcome.NO_CONNECTION, 3);
-            case RESETTING -> new Response(CallOutcome.RESET, servesInMs / 2);
-            case SLOW -> new Response(CallOutcome.OK, 5 * servesInMs);
-            case HEALTHY -> healthyResponse(servesInMs);
+            case RESETTING -> new Response(CallOutcome.RESET, serviceTimeMs / 2);
+            case SLOW -> new Response(CallOutcome.OK, 5 * serviceTimeMs);
+            case HEALTHY -> healthyResponse(serviceTimeMs);
         };
     }
 
-    private Response healthyResponse(double servesInMs) {
+    private Response healthyResponse(double serviceTimeMs) {
         if (inFlight > scenario.endpointSlots() + scenario.endpointQueue()) {
             return new Response(CallOutcome.FULL, 1);
         }
-        return new Response(random.nextInt(100) == 0 ? CallOutcome.ERROR : CallOutcome.OK, servesInMs);
+        return new Response(random.nextInt(100) == 0 ? CallOutcome.ERROR : CallOutcome.OK, serviceTimeMs);
     }
 
-    /** Time in queue and service: grows with what is in flight, and while the endpoint is in slow start. */
+    /** Returns the time in queue and service, which is longer with more attempts in flight and in slow start. */
     private double serviceMs() {
         double queued = Math.max(1, (double) inFlight / scenario.endpointSlots());
         double speed = Math.min(1, 0.2 + 0.8 * (timeline.now() - startedAt) / scenario.warmUpMs());
--- a/src/test/java/quotagateway/policy/golden/FakeFleet.java
+++ b/src/test/java/quotagateway/policy/golden/FakeFleet.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import quotagateway.policy.api.IncomingRequest;
 
-/** The nodes of a scenario and everything around them, on one timeline and with one source of randomness. */
+/** The nodes of a scenario and their simulated peers, on one timeline and with one source of random numbers. */
 final class FakeFleet {
     private final GoldenScenario scenario;
     private final Timeline timeline;
@@ -29,18 +29,18 @@
         clients = new FakeClients(scenario, timeline, random);
     }
 
-    /** Runs the whole scenario. */
+    /** Runs the complete scenario. */
     void run() {
         for (int number = 0; number < scenario.endpoints(); number++) {
             endpoints.put(FakeDiscovery.id(number), new FakeEndpoint(timeline, random, scenario));
         }
-        for (int index = 0; index < scenario.nodes(); index++) {
+        for (int index = 0; index < scenario.runningNodes(); index++) {
             FakeNode node = new FakeNode(scenario, index, this, transcript);
             nodes.add(node);
             start(node);
-            clients.callForever(node, index);
+            clients.scheduleRequests(node, index);
         }
-        new FaultSchedule(scenario, this).begin();
+        new FaultSchedule(scenario, this).scheduleNext();
         for (int second = 0; second < scenario.seconds(); second++) {
             timeline.runUntil(1000.0 * (second + 1));
             for (FakeNode node : nodes) {
--- a/src/test/java/quotagateway/policy/golden/FakeNode.java
+++ b/src/test/java/quotagateway/policy/golden/FakeNode.java
@@ -14,15 +14,18 @@
 import quotagateway.policy.api.PolicySettings;
 
 /**
- * The host of one policy: carries its actions out on the timeline among the fake peers, and ends requests and attempts
- * as a real node does. A restart begins a new policy that knows nothing.
+ * The simulated host of one policy: performs its actions on the timeline with simulated peers, and ends requests and
+ * attempts as a real node does. A restart creates a new policy without any state.
  */
 final class FakeNode implements PolicyActions {
-    /** Attempts wait up to this long for a connection; until then they can be withdrawn. */
+    /** The longest time that an attempt waits for a connection; until then it can be withdrawn. */
     private static final double CONNECT_MS = 3;
 
-    /** A real timer is never on time to the bit. The policy does not end a call made exactly at a subperiod's edge. */
-    private static final double TIMER_LATE_MS = 1.0 / 64;
+    /**
+     * Delay of every timer, because a real timer never fires exactly on time. The policy does not end a call that is
+     * made exactly at the edge of a subperiod.
+     */
+    private static final double TIMER_DELAY_MS = 1.0 / 64;
 
     private static final class Request {
         final IncomingRequest incoming;
@@ -59,11 +62,11 @@
     private final Random random;
     private final FakeFleet fleet;
     private final Transcript transcript;
-    private final Map<Long, Request> open = new HashMap<>();
+    private final Map<Long, Request> openRequests = new HashMap<>();
     private final List<Attempt> connecting = new ArrayList<>();
     private PolicyEvents policy;
-    /** Counts the processes of this node; events of an earlier process are dropped by it. */
-    private int process;
+    /** Number of the node's current process; events that an earlier process scheduled are dropped. */
+    private int processNumber;
 
     private boolean running;
 
@@ -85,17 +88,17 @@
                 index);
     }
 
-    /** The process ends at once; all that it had in flight is forgotten. */
+    /** Ends the process immediately and drops its open requests and attempts. */
     void kill() {
         running = false;
-        process++;
-        for (Request request : List.copyOf(open.values())) {
+        processNumber++;
+        for (Request request : List.copyOf(openRequests.values())) {
             request.completed = true;
             for (Attempt attempt : request.attempts) {
                 release(attempt);
             }
         }
-        open.clear();
+        openRequests.clear();
         connecting.clear();
     }
 
@@ -103,16 +106,16 @@
         return running;
     }
 
-    /** The policy of the present process. */
+    /** Returns the policy of the current process. */
     PolicyEvents policy() {
         return policy;
     }
 
-    /** Runs an action later, unless the present process has ended by then. */
+    /** Runs an action after a delay, unless the current process has ended by then. */
     void later(double delayMs, Runnable action) {
-        int scheduledBy = process;
+        int schedulingProcess = processNumber;
         timeline.after(delayMs, () -> {
-            if (running && process == scheduledBy) {
+            if (running && processNumber == schedulingProcess) {
                 action.run();
             }
         });
@@ -122,7 +125,7 @@
 
     void onRequest(IncomingRequest incoming) {
         Request request = new Request(incoming);
-        open.put(incoming.id(), request);
+        openRequests.put(incoming.id(), request);
         later(incoming.clientTimeout(), () -> timeOut(request));
         if (random.nextInt(50) == 0) {
             later(random.nextDouble() * incoming.clientTimeout() / 2, () -> disconnectClient(request));
@@ -138,12 +141,12 @@
         }
     }
 
-    /** The client waits no longer: attempts time out, and the policy has a short while for the last word. */
+    /** Ends the client's wait: attempts time out, and the policy has the grace time for a final response. */
     private void timeOut(Request request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             end(attempt, CallOutcome.TIMEOUT);
         }
-        later(settings.rules().answerGrace(), () -> complete(request));
+        later(settings.rules().responseGrace(), () -> complete(request));
     }
 
     private void complete(Request request) {
@@ -153,7 +156,7 @@
 
     private void forgetIfEnded(Request request) {
         if (request.completed && request.inFlight == 0) {
-            open.remove(request.incoming.id());
+            openRequests.remove(request.incoming.id());
         }
     }
 
@@ -227,9 +230,9 @@
         }
     }
 
-    /** The process of an endpoint has ended: connections to it break. */
-    void breakConnections(String endpoint) {
-        for (Request request : List.copyOf(open.values())) {
+    /** Resets the connections to an endpoint whose process has ended. */
+    void resetConnections(String endpoint) {
+        for (Request request : List.copyOf(openRequests.values())) {
             for (Attempt attempt : request.attempts) {
                 if (attempt.acceptedBy != null && attempt.endpoint.equals(endpoint)) {
                     later(0, () -> end(attempt, CallOutcome.RESET));
@@ -241,8 +244,8 @@
     // ---- actions of the policy ----
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
-        Request request = open.get(requestId);
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
+        Request request = openRequests.get(requestId);
         if (request != null) {
             Attempt attempt = new Attempt(request, request.attempts.size(), endpoint, timeline.now());
             request.attempts.add(attempt);
@@ -253,7 +256,7 @@
 
     @Override
     public void cancelAttempt(long requestId, int attempt) {
-        Request request = open.get(requestId);
+        Request request = openRequests.get(requestId);
         if (request != null) {
             later(0, () -> end(request.attempts.get(attempt), CallOutcome.CANCELLED));
         }
@@ -261,7 +264,7 @@
 
     @Override
     public void reject(long requestId, double retryAfterMs) {
-        Request request = open.get(requestId);
+        Request request = openRequests.get(requestId);
         if (request != null && !request.completed) {
             complete(request);
             fleet.onRejected(this, request.incoming, retryAfterMs);
@@ -270,7 +273,7 @@
 
     @Override
     public void fail(long requestId) {
-        Request request = open.get(requestId);
+        Request request = openRequests.get(requestId);
         if (request != null) {
             complete(request);
         }
@@ -278,8 +281,8 @@
 
     @Override
     public void scheduleTimer(double delayMs, long token) {
-        double lateMs = scenario.wholeMilliseconds() ? 0 : TIMER_LATE_MS;
-        later(delayMs + lateMs, () -> policy.onTimer(timeline.now(), token));
+        double timerDelayMs = scenario.wholeMilliseconds() ? 0 : TIMER_DELAY_MS;
+        later(delayMs + timerDelayMs, () -> policy.onTimer(timeline.now(), token));
     }
 
     @Override
@@ -288,12 +291,12 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
-        double asked = timeline.now();
-        int calledBy = process;
-        fleet.counter().add(name, amount, keepForMs, (outcome, total) -> {
-            if (running && process == calledBy) {
-                policy.onCounterReply(timeline.now(), name, outcome, timeline.now() - asked, total);
+    public void addToCounter(long name, double amount, double ttlMs) {
+        double calledAt = timeline.now();
+        int callingProcess = processNumber;
+        fleet.counter().add(name, amount, ttlMs, (outcome, total) -> {
+            if (running && processNumber == callingProcess) {
+                policy.onCounterReply(timeline.now(), name, outcome, timeline.now() - calledAt, total);
             }
         });
     }
@@ -312,7 +315,7 @@
         }
     }
 
-    /** Restores the cordons that operators had stored. */
+    /** Restores the cordons that operators have set. */
     void restoreCordons(Set<String> cordoned) {
         policy.replaceCordons(timeline.now(), cordoned);
     }
--- a/src/test/java/quotagateway/policy/golden/FaultSchedule.java
+++ b/src/test/java/quotagateway/policy/golden/FaultSchedule.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import quotagateway.policy.api.EndpointState;
 
-/** Faults and operations at random times: of endpoints, the counter, discovery, operators and nodes. */
+/** Injects faults and operations at random times: of endpoints, the counter, discovery, operators and nodes. */
 final class FaultSchedule {
     private static final FakeEndpoint.Mode[] ENDPOINT_FAULTS = {
         FakeEndpoint.Mode.SLOW,
@@ -39,66 +39,66 @@
         random = fleet.random();
     }
 
-    /** Lets faults happen for ever. */
-    void begin() {
+    /** Schedules the next fault, which schedules its successor in turn, indefinitely. */
+    void scheduleNext() {
         timeline.after(scenario.faultEveryMs() * (0.5 + random.nextDouble()), () -> {
-            happen(random.nextInt(14));
-            begin();
+            injectFault(random.nextInt(14));
+            scheduleNext();
         });
     }
 
-    private void happen(int kind) {
+    private void injectFault(int kind) {
         String endpoint = FakeDiscovery.id(random.nextInt(scenario.endpoints()));
         switch (kind) {
-            case 0, 1, 2 -> disturbEndpoint(endpoint);
-            case 3 -> crash(endpoint);
-            case 4 -> roll();
-            case 5, 6 -> cordon(endpoint);
+            case 0, 1, 2 -> injectEndpointFault(endpoint);
+            case 3 -> crashEndpoint(endpoint);
+            case 4 -> rollingRestart();
+            case 5, 6 -> cordonTemporarily(endpoint);
             case 7 -> fleet.nodes().forEach(this::restoreCordons);
-            case 8, 9 -> disturbCounter();
-            case 10 -> fleet.counter().loseTotals();
-            case 11 -> interruptDiscovery();
+            case 8, 9 -> injectCounterFault();
+            case 10 -> fleet.counter().clearTotals();
+            case 11 -> injectDiscoveryOutage();
             case 12 -> restartNode();
-            default -> shrinkFleet();
+            default -> removeThirdOfEndpoints();
         }
     }
 
-    private double between(double leastMs, double mostMs) {
-        return leastMs + (mostMs - leastMs) * random.nextDouble();
+    private double randomBetween(double minMs, double maxMs) {
+        return minMs + (maxMs - minMs) * random.nextDouble();
     }
 
-    private void disturbEndpoint(String id) {
+    private void injectEndpointFault(String id) {
         FakeEndpoint endpoint = fleet.endpoint(id);
         endpoint.setMode(ENDPOINT_FAULTS[random.nextInt(ENDPOINT_FAULTS.length)]);
-        timeline.after(between(200, 4000), () -> endpoint.setMode(FakeEndpoint.Mode.HEALTHY));
+        timeline.after(randomBetween(200, 4000), () -> endpoint.setMode(FakeEndpoint.Mode.HEALTHY));
     }
 
-    /** The process dies and a new one starts; discovery tells of it later. */
-    private void crash(String id) {
+    /** Ends an endpoint's process and starts a new one, which discovery reports later. */
+    private void crashEndpoint(String id) {
         fleet.endpoint(id).setMode(FakeEndpoint.Mode.REFUSING);
-        fleet.nodes().forEach(node -> node.breakConnections(id));
-        timeline.after(between(200, 1500), () -> {
+        fleet.nodes().forEach(node -> node.resetConnections(id));
+        timeline.after(randomBetween(200, 1500), () -> {
             fleet.endpoint(id).restart();
             double startedAt = timeline.now();
             timeline.after(300, () -> fleet.discovery().change(List.of(id), EndpointState.UP, startedAt));
         });
     }
 
-    /** A twentieth of the endpoints, one at least, drains, leaves and comes back as new processes. */
-    private void roll() {
-        List<String> ids = someEndpoints(scenario.endpoints() / 20 + 1);
+    /** Drains and removes a twentieth of the endpoints, at least one, and lists them again as new processes. */
+    private void rollingRestart() {
+        List<String> ids = consecutiveEndpoints(scenario.endpoints() / 20 + 1);
         fleet.discovery().change(ids, EndpointState.DRAINING, 0);
         timeline.after(2000, () -> {
             fleet.discovery().change(ids, EndpointState.REMOVED, 0);
             ids.forEach(id -> fleet.endpoint(id).setMode(FakeEndpoint.Mode.REFUSING));
         });
-        timeline.after(between(2500, 4000), () -> {
+        timeline.after(randomBetween(2500, 4000), () -> {
             ids.forEach(id -> fleet.endpoint(id).restart());
             fleet.discovery().change(ids, EndpointState.UP, timeline.now());
         });
     }
 
-    private List<String> someEndpoints(int count) {
+    private List<String> consecutiveEndpoints(int count) {
         List<String> ids = new ArrayList<>();
         int first = random.nextInt(scenario.endpoints());
         for (int step = 0; step < count; step++) {
@@ -107,17 +107,17 @@
         return ids;
     }
 
-    private void cordon(String id) {
+    private void cordonTemporarily(String id) {
         setCordoned(id, true);
-        timeline.after(between(500, 5000), () -> setCordoned(id, false));
+        timeline.after(randomBetween(500, 5000), () -> setCordoned(id, false));
     }
 
-    private void setCordoned(String id, boolean out) {
-        if (out ? !cordoned.add(id) : !cordoned.remove(id)) {
+    private void setCordoned(String id, boolean shouldBeCordoned) {
+        if (shouldBeCordoned ? !cordoned.add(id) : !cordoned.remove(id)) {
             return;
         }
         for (FakeNode node : fleet.nodes()) {
-            node.later(between(0, 100), () -> node.policy().setCordoned(timeline.now(), id, out));
+            node.later(randomBetween(0, 100), () -> node.policy().setCordoned(timeline.now(), id, shouldBeCordoned));
         }
     }
 
@@ -127,31 +127,31 @@
         }
     }
 
-    private void disturbCounter() {
+    private void injectCounterFault() {
         fleet.counter().setMode(COUNTER_FAULTS[random.nextInt(COUNTER_FAULTS.length)]);
-        timeline.after(between(100, 4000), () -> fleet.counter().setMode(FakeCounter.Mode.HEALTHY));
+        timeline.after(randomBetween(100, 4000), () -> fleet.counter().setMode(FakeCounter.Mode.HEALTHY));
     }
 
-    private void interruptDiscovery() {
+    private void injectDiscoveryOutage() {
         fleet.discovery().fail();
-        timeline.after(between(500, 3000), fleet.discovery()::recover);
+        timeline.after(randomBetween(500, 3000), fleet.discovery()::recover);
     }
 
     private void restartNode() {
         FakeNode node = fleet.nodes().get(random.nextInt(fleet.nodes().size()));
         if (node.isRunning()) {
             node.kill();
-            timeline.after(between(50, 500), () -> {
+            timeline.after(randomBetween(50, 500), () -> {
                 fleet.start(node);
                 restoreCordons(node);
             });
         }
     }
 
-    /** A third of the endpoints vanishes at once and comes back together. */
-    private void shrinkFleet() {
-        List<String> ids = someEndpoints(scenario.endpoints() / 3);
+    /** Removes a third of the endpoints at the same time, and later lists them again together. */
+    private void removeThirdOfEndpoints() {
+        List<String> ids = consecutiveEndpoints(scenario.endpoints() / 3);
         fleet.discovery().change(ids, EndpointState.REMOVED, 0);
-        timeline.after(between(1000, 3000), () -> fleet.discovery().change(ids, EndpointState.UP, 0));
+        timeline.after(randomBetween(1000, 3000), () -> fleet.discovery().change(ids, EndpointState.UP, 0));
     }
 }
--- a/src/test/java/quotagateway/policy/golden/GoldenPolicyTest.java
+++ b/src/test/java/quotagateway/policy/golden/GoldenPolicyTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Holds every decision of the policy to what it was when the hashes under {@code src/test/resources/golden} were
- * written: whole fleets run on a virtual clock among faults, and each virtual second of all events and actions has one
- * hash. After a change that is meant to alter decisions the hashes are written anew by
+ * Checks that every decision of the policy is the recorded one: complete fleets run on a virtual clock with injected
+ * faults, and all events and actions of each virtual second are hashed and compared with the hashes under
+ * {@code src/test/resources/golden}. After a change that is meant to alter decisions, the hashes are rewritten by
  *
  * <pre>mvn -q -B -o -Dtest=GoldenPolicyTest -Dgolden.write=true test</pre>
  *
  * which reports the tests as skipped. With {@code -Dgolden.transcript=true} all lines are written to
- * {@code target/golden}, so that the runs of two commits can be compared by {@code diff}.
+ * {@code target/golden}, so that the runs of two commits can be compared with {@code diff}.
  *
- * <p>The policy uses {@link Math#pow} and {@link Math#log}, whose last bit the platform is free to choose: the hashes
- * hold for Java 17 on x86-64.
+ * <p>The policy uses {@link Math#pow} and {@link Math#log}, whose last bit may differ between platforms: the hashes are
+ * valid for Java 17 on x86-64.
  */
 class GoldenPolicyTest {
     private static final Path HASHES = Path.of("src", "test", "resources", "golden");
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void everyEventAndActionIsAsRecorded(GoldenScenario scenario) throws IOException {
+    void eventsAndActionsMatchTheRecordedHashes(GoldenScenario scenario) throws IOException {
         boolean keepText = Boolean.getBoolean("golden.transcript");
         Transcript transcript = new Transcript(keepText);
         new FakeFleet(scenario, transcript).run();
@@ -46,7 +46,7 @@
         if (Boolean.getBoolean("golden.write")) {
             Files.createDirectories(HASHES);
             Files.write(file, transcript.hashes());
-            Assumptions.abort("hashes written anew: " + file);
+            Assumptions.abort("hashes rewritten: " + file);
         }
         compare(scenario, Files.readAllLines(file), transcript.hashes());
     }
@@ -55,7 +55,7 @@
         assertEquals(recorded.size(), actual.size(), "virtual seconds of " + scenario.name());
         for (int second = 0; second < recorded.size(); second++) {
             if (!recorded.get(second).equals(actual.get(second))) {
-                fail(scenario.name() + ": events or actions differ first in virtual second " + second);
+                fail(scenario.name() + ": the first difference in events or actions is in virtual second " + second);
             }
         }
     }
--- a/src/test/java/quotagateway/policy/golden/GoldenScenario.java
+++ b/src/test/java/quotagateway/policy/golden/GoldenScenario.java
@@ -11,37 +11,37 @@
 import quotagateway.policy.api.ServiceRules;
 
 /**
- * A fleet and what happens to it.
+ * The parameters of a simulated fleet, its load and its faults.
  *
- * @param name of the file that holds its hashes
- * @param seed of all random draws
- * @param seconds how long it runs
- * @param wholeMilliseconds whether the clock moves in whole milliseconds
- * @param nodes how many nodes run
- * @param nodeCount how many nodes the settings name; the others are silent
- * @param endpoints how many endpoints the list has
- * @param zones over how many zones they are spread
- * @param endpointSlots requests that an endpoint serves at once
- * @param endpointQueue requests that it queues
+ * @param name the name of the file that holds its hashes
+ * @param seed the seed of all random draws
+ * @param seconds how long the scenario runs (virtual seconds)
+ * @param wholeMilliseconds whether the clock advances in whole milliseconds
+ * @param runningNodes number of nodes that run
+ * @param nodeCount number of nodes in the settings; the nodes that do not run are silent
+ * @param endpoints number of endpoints in the list
+ * @param zones number of zones over which the endpoints are distributed
+ * @param endpointSlots requests that an endpoint serves concurrently
+ * @param endpointQueue requests that an endpoint queues
  * @param serviceMs mean time of a request in a slot (ms)
  * @param warmUpMs how long an endpoint is slow after its start (ms)
- * @param requestsPerSecond at each node, before the load curve
- * @param customersPerPlan how many customers each plan has
- * @param counterCallsPerSecond what the shared counter can serve
- * @param counterRoundTripMs the way to it and back (ms)
+ * @param requestsPerSecond request rate at each node, before the load curve is applied
+ * @param customersPerPlan number of customers on each plan
+ * @param counterCallsPerSecond calls per second that the shared counter can serve
+ * @param counterRoundTripMs network round-trip time to the shared counter (ms)
  * @param faultEveryMs mean time between two faults (ms)
- * @param mustSubscribe whether endpoint lists come on subscription only
- * @param reportsActualUnits whether responses tell the units used
- * @param maxUnits the most units of a request
- * @param requestClasses all classes
- * @param plans all plans
+ * @param mustSubscribe whether endpoint lists arrive only after a subscription
+ * @param reportsActualUnits whether responses report the units actually used
+ * @param maxUnits maximum units of one request
+ * @param requestClasses all request classes
+ * @param plans all quota plans
  */
 record GoldenScenario(
         String name,
         long seed,
         int seconds,
         boolean wholeMilliseconds,
-        int nodes,
+        int runningNodes,
         int nodeCount,
         int endpoints,
         int zones,
@@ -68,12 +68,12 @@
             new RequestClass("zonal", Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE, 500, 2000, 1, 0, 3000, false);
     private static final RequestClass KEY_IN_CELL =
             new RequestClass("cellular", Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 500, 2000, 1, 0, 3000, false);
-    private static final RequestClass ONCE =
+    private static final RequestClass NON_IDEMPOTENT =
             new RequestClass("once", Idempotency.NON_IDEMPOTENT, RetryScope.ALL, 800, 2500, 3, 0.1, 0, false);
     private static final RequestClass STREAMED =
             new RequestClass("streamed", Idempotency.IDEMPOTENT, RetryScope.ALL, 1000, 4000, 1, 0.5, 0, true);
 
-    /** Three nodes that share quotas which bind, and every kind of retry rule; times meet on whole milliseconds. */
+    /** Three nodes that exhaust shared quotas, and every kind of retry rule; events coincide on whole milliseconds. */
     static GoldenScenario sharedQuotas() {
         return new GoldenScenario(
                 "shared-quotas",
@@ -96,7 +96,7 @@
                 false,
                 false,
                 1,
-                List.of(IDEMPOTENT, KEY_ANYWHERE, KEY_IN_ZONE, KEY_IN_CELL, ONCE),
+                List.of(IDEMPOTENT, KEY_ANYWHERE, KEY_IN_ZONE, KEY_IN_CELL, NON_IDEMPOTENT),
                 List.of(
                         plan("small", 8, 8, 0, 0),
                         plan("medium", 20, 40, 0, 0),
@@ -104,7 +104,7 @@
                         plan("unlimited", 0, 0, 0, 0)));
     }
 
-    /** A larger fleet on a counter that is too slow for it, with limits of open requests and hard limits. */
+    /** A larger fleet with a counter that is too slow for it, with limits on open requests and hard limits. */
     static GoldenScenario slowCounter() {
         return new GoldenScenario(
                 "slow-counter",
@@ -127,7 +127,7 @@
                 false,
                 false,
                 3,
-                List.of(IDEMPOTENT, KEY_IN_ZONE, ONCE),
+                List.of(IDEMPOTENT, KEY_IN_ZONE, NON_IDEMPOTENT),
                 List.of(
                         plan("steady", 120, 200, 0, 0),
                         plan("open", 0, 0, 6, 0),
@@ -135,7 +135,10 @@
                         plan("capped", 100, 100, 0, 80)));
     }
 
-    /** A list longer than any node uses whole, in parts and on subscription, with rolls and slow start. */
+    /**
+     * A list that is too long for a node to use all of it, sent in parts and on subscription, with rolling restarts and
+     * slow start.
+     */
     static GoldenScenario longList() {
         return new GoldenScenario(
                 "long-list",
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Endpoints that are nearly always slow, and many more requests than they may get: limits of concurrency stay about
-     * one, and events are so dense that one falls between two nearly equal times.
+     * Endpoints that are nearly always slow, and many more requests than may be sent to them: concurrency limits stay
+     * near one, and events are so dense that one falls between two nearly equal times.
      */
     static GoldenScenario overload() {
         return new GoldenScenario(
@@ -196,11 +199,11 @@
         return List.of(sharedQuotas(), slowCounter(), longList(), overload());
     }
 
-    private static QuotaPlan plan(String name, double rate, double burst, int concurrencyLimit, double ceilingRate) {
-        return new QuotaPlan(name, rate, burst, concurrencyLimit, 1, 0.3, 0.6, ceilingRate, 2 * ceilingRate, 0);
+    private static QuotaPlan plan(String name, double rate, double burst, int concurrencyLimit, double hardLimitRate) {
+        return new QuotaPlan(name, rate, burst, concurrencyLimit, 1, 0.3, 0.6, hardLimitRate, 2 * hardLimitRate, 0);
     }
 
-    /** What the policy of a node is told. */
+    /** Returns the settings of a node's policy. */
     PolicySettings settings(int nodeIndex) {
         return new PolicySettings(
                 nodeIndex,
--- a/src/test/java/quotagateway/policy/golden/RecordedActions.java
+++ b/src/test/java/quotagateway/policy/golden/RecordedActions.java
@@ -4,7 +4,7 @@
 import quotagateway.policy.api.FailureReason;
 import quotagateway.policy.api.PolicyActions;
 
-/** Writes every action that a policy takes to a transcript, and hands it on to the node. */
+/** Writes every action of a policy to a transcript and forwards it to the node. */
 final class RecordedActions implements PolicyActions {
     private final PolicyActions node;
     private final Transcript transcript;
@@ -21,9 +21,9 @@
     }
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
-        action("sendAttempt").add(requestId).add(endpoint).add(until);
-        node.sendAttempt(requestId, endpoint, until);
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
+        action("sendAttempt").add(requestId).add(endpoint).add(timeoutAt);
+        node.sendAttempt(requestId, endpoint, timeoutAt);
     }
 
     @Override
@@ -69,9 +69,9 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
-        action("addToCounter").add(name).add(amount).add(keepForMs);
-        node.addToCounter(name, amount, keepForMs);
+    public void addToCounter(long name, double amount, double ttlMs) {
+        action("addToCounter").add(name).add(amount).add(ttlMs);
+        node.addToCounter(name, amount, ttlMs);
     }
 
     @Override
--- a/src/test/java/quotagateway/policy/golden/RecordedPolicy.java
+++ b/src/test/java/quotagateway/policy/golden/RecordedPolicy.java
@@ -7,7 +7,7 @@
 import quotagateway.policy.api.IncomingRequest;
 import quotagateway.policy.api.PolicyEvents;
 
-/** Writes every event that a policy is given, and what it returns, to a transcript. */
+/** Writes every event passed to a policy, and the policy's return value, to a transcript. */
 final class RecordedPolicy implements PolicyEvents {
     private final PolicyEvents policy;
     private final Transcript transcript;
--- a/src/test/java/quotagateway/policy/golden/Timeline.java
+++ b/src/test/java/quotagateway/policy/golden/Timeline.java
@@ -3,21 +3,21 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The virtual clock (ms): runs what is scheduled in order of time, and in order of scheduling at the same time. */
+/** A virtual clock (ms) that runs scheduled actions by time, and at equal times in the order of scheduling. */
 final class Timeline {
-    private record Task(double at, long serial, Runnable action) {}
+    private record Task(double at, long sequenceNumber, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.<Task>comparingDouble(Task::at).thenComparingLong(Task::serial));
+            new PriorityQueue<>(Comparator.<Task>comparingDouble(Task::at).thenComparingLong(Task::sequenceNumber));
     private final boolean wholeMilliseconds;
-    private long nextSerial;
+    private long nextSequenceNumber;
     private double now;
 
     /**
-     * A clock at 0.
+     * Creates a clock at 0.
      *
-     * @param wholeMilliseconds whether every time is rounded up to a whole millisecond, which makes events meet and
-     *     values fall exactly on a threshold
+     * @param wholeMilliseconds whether every time is rounded up to a whole millisecond, so that events coincide and
+     *     values fall exactly on thresholds
      */
     Timeline(boolean wholeMilliseconds) {
         this.wholeMilliseconds = wholeMilliseconds;
@@ -30,10 +30,10 @@
     /** Schedules an action after a delay (ms). */
     void after(double delayMs, Runnable action) {
         double at = now + Math.max(0, delayMs);
-        tasks.add(new Task(wholeMilliseconds ? Math.ceil(at) : at, nextSerial++, action));
+        tasks.add(new Task(wholeMilliseconds ? Math.ceil(at) : at, nextSequenceNumber++, action));
     }
 
-    /** Runs all actions that are due before a time, and moves the clock there. */
+    /** Runs all actions that are due before a time, and advances the clock to it. */
     void runUntil(double time) {
         while (!tasks.isEmpty() && tasks.peek().at < time) {
             Task task = tasks.poll();
--- a/src/test/java/quotagateway/policy/golden/Transcript.java
+++ b/src/test/java/quotagateway/policy/golden/Transcript.java
@@ -8,18 +8,18 @@
 import java.util.List;
 
 /**
- * All events and actions of a run, a line each, hashed second by second. Doubles stand in a line by the bits of
- * {@link Double#doubleToLongBits}, so that a difference in the last place shows.
+ * All events and actions of a run, one per line, with one hash for each virtual second. Doubles are written as the bits
+ * of {@link Double#doubleToLongBits}, so that a difference in the last place is visible.
  */
 final class Transcript {
     private final StringBuilder lines = new StringBuilder();
     private final MessageDigest sha256;
     private final List<String> hashes = new ArrayList<>();
-    private final StringBuilder kept;
+    private final StringBuilder keptText;
 
-    /** @param keepText whether {@link #text} is wanted, to compare two runs line by line */
+    /** @param keepText whether to keep the lines for {@link #text}, to compare two runs line by line */
     Transcript(boolean keepText) {
-        kept = keepText ? new StringBuilder() : null;
+        keptText = keepText ? new StringBuilder() : null;
         try {
             sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -27,9 +27,9 @@
         }
     }
 
-    /** Begins the line of an event or action of a node. */
-    Transcript line(int node, String what) {
-        lines.append('\n').append(node).append(' ').append(what);
+    /** Begins the line of a node's event or action. */
+    Transcript line(int node, String name) {
+        lines.append('\n').append(node).append(' ').append(name);
         return this;
     }
 
@@ -55,23 +55,23 @@
         return this;
     }
 
-    /** Ends a virtual second: its lines become one hash. */
+    /** Ends a virtual second and hashes its lines. */
     void endSecond() {
         byte[] bytes = lines.toString().getBytes(StandardCharsets.UTF_8);
         hashes.add(HexFormat.of().formatHex(sha256.digest(bytes)));
-        if (kept != null) {
-            kept.append("\n# second ").append(hashes.size() - 1).append(lines);
+        if (keptText != null) {
+            keptText.append("\n# second ").append(hashes.size() - 1).append(lines);
         }
         lines.setLength(0);
     }
 
-    /** The hashes of the seconds that have ended. */
+    /** Returns the hashes of the virtual seconds that have ended. */
     List<String> hashes() {
         return hashes;
     }
 
-    /** All lines of the seconds that have ended; empty unless kept. */
+    /** Returns all lines of the virtual seconds that have ended, or an empty text if they are not kept. */
     String text() {
-        return kept == null ? "" : kept.toString();
+        return keptText == null ? "" : keptText.toString();
     }
 }
--- a/src/test/java/quotagateway/policy/health/ClassLatencyTest.java
+++ b/src/test/java/quotagateway/policy/health/ClassLatencyTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 class ClassLatencyTest {
-    private final ClassLatency latency = new ClassLatency(PolicyValues.READ);
+    private final ClassLatency latency = new ClassLatency(PolicyFixtures.READ);
 
     @Test
     void untilSeenAResponseTakesAnEighthOfTheObjective() {
--- a/src/test/java/quotagateway/policy/health/FailureEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/health/FailureEstimatorTest.java
@@ -6,11 +6,12 @@
 import quotagateway.policy.api.Idempotency;
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 class FailureEstimatorTest {
-    private static final RequestClass READ = PolicyValues.READ;
-    private static final RequestClass OTHER = PolicyValues.requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL, 0);
+    private static final RequestClass READ = PolicyFixtures.READ;
+    private static final RequestClass OTHER =
+            PolicyFixtures.requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL, 0);
 
     private final FailureEstimator estimator = new FailureEstimator();
 
--- a/src/test/java/quotagateway/policy/quota/CounterCallsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterCallsTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.CallOutcome;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
@@ -23,7 +23,7 @@
 
     private CounterCallWindow window(int gateways) {
         return new CounterCallWindow(
-                PolicyValues.settings(gateways), clock, new TimerQueue(clock, host), new Random(1));
+                PolicyFixtures.settings(gateways), clock, new TimerQueue(clock, host), new Random(1));
     }
 
     private static void call(CounterCallWindow window, CallOutcome outcome, double tookMs) {
--- a/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.QuotaPlan;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 /** One customer's quota: 8 units a second, burst 8, shared by two gateways unless said otherwise. */
 class CustomerQuotaTest {
@@ -42,7 +42,7 @@
 
     @Test
     void gatewayAloneHasTheBurstAtOnceAndThenTheRate() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 1);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 1);
         demand.requests = 20;
         assertEquals(8, admitWaiting(quota));
         fixture.clock.advanceTo(500);
@@ -52,7 +52,7 @@
 
     @Test
     void requestIsAdmittedOnceItsUnitIsLeased() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 1;
         assertFalse(quota.admits(fixture.request()));
         assertFalse(quota.admits(fixture.request()));
@@ -63,7 +63,7 @@
 
     @Test
     void claimIsBoundedByWhatCanBeThereInTime() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 50;
         quota.admits(fixture.request());
         assertEquals(List.of("add 11.0"), added(), "8 and the 3 that come in 400 ms");
@@ -75,7 +75,7 @@
 
     @Test
     void unitsThatOthersHaveTakenAreReturned() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 5;
         demand.latestStart = 0;
         quota.admits(fixture.request());
@@ -87,7 +87,7 @@
 
     @Test
     void claimThatWasNotAddedIsMadeAnewAndOneThatTimedOutCountsAsAdded() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 1;
         quota.admits(fixture.request());
         added();
@@ -103,7 +103,7 @@
 
     @Test
     void unitsReallyUsedAreAddedWithTheNextClaim() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         quota.correctSpending(3);
         demand.requests = 1;
         quota.admits(fixture.request());
@@ -112,7 +112,7 @@
 
     @Test
     void surplusIsReturnedAtTheResplit() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 5;
         quota.admits(fixture.request());
         reply(CallOutcome.OK, 5);
@@ -125,7 +125,7 @@
 
     @Test
     void usualDemandIsClaimedAhead() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         for (int i = 0; i < 5; i++) {
             quota.onRequest(2);
         }
@@ -136,7 +136,7 @@
 
     @Test
     void resplitClaimsForActiveCustomersUntilTheyAreIdle() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 2);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         QuotaResplit resplit = new QuotaResplit(fixture.calls);
         resplit.activate(quota);
         quota.onRequest(10);
@@ -152,7 +152,7 @@
 
     @Test
     void plentyIsHalfOfTheBurst() {
-        CustomerQuota quota = fixture.quota(PolicyValues.RATE, 1);
+        CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 1);
         demand.requests = 5;
         assertTrue(quota.hasPlenty());
         assertEquals(5, admitWaiting(quota));
--- a/src/test/java/quotagateway/policy/quota/DriftDetectorTest.java
+++ b/src/test/java/quotagateway/policy/quota/DriftDetectorTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 /** A burst of 8: more than one unit is a drift; the third gateway (position 2) with a turn of 50 ms. */
 class DriftDetectorTest {
     private final QuotaFixture fixture = new QuotaFixture(4);
-    private final QuotaHolder holder = QuotaHolder.of("c", PolicyValues.RATE, 4, 2, true);
+    private final QuotaHolder holder = QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 4, 2, true);
     private final DriftDetector drift = new DriftDetector(holder, fixture.context);
 
     private void readOnce() {
--- a/src/test/java/quotagateway/policy/quota/QuotaFixture.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaFixture.java
@@ -4,7 +4,7 @@
 import quotagateway.policy.api.PolicySettings;
 import quotagateway.policy.api.QuotaPlan;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.ResplitSchedule;
@@ -57,7 +57,7 @@
     final QuotaContext context;
 
     QuotaFixture(int gateways) {
-        PolicySettings settings = PolicyValues.settings(gateways);
+        PolicySettings settings = PolicyFixtures.settings(gateways);
         TimerQueue timers = new TimerQueue(clock, host);
         LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
         SendRateLimiter limiter = new SendRateLimiter(settings, objectives, clock, timers, traffic);
--- a/src/test/java/quotagateway/policy/quota/QuotaPartsTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaPartsTest.java
@@ -8,11 +8,11 @@
 
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.QuotaPlan;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 /** The small parts of a quota, which know nothing of each other. */
 class QuotaPartsTest {
-    private static final QuotaHolder HOLDER = QuotaHolder.of("c rate", PolicyValues.RATE, 4, 1, true);
+    private static final QuotaHolder HOLDER = QuotaHolder.of("c rate", PolicyFixtures.RATE_PLAN, 4, 1, true);
 
     @Test
     void tokenBucketRefillsUpToItsBurst() {
@@ -28,12 +28,13 @@
     @Test
     void holderIsLocalWithoutACounterOrOtherGateways() {
         assertFalse(HOLDER.local());
-        assertTrue(QuotaHolder.of("c", PolicyValues.RATE, 1, 0, true).local());
-        assertTrue(QuotaHolder.of("c", PolicyValues.RATE, 4, 0, false).local());
-        assertEquals(1, QuotaHolder.of("c", PolicyValues.RATE, 0, 0, true).gatewayCount());
+        assertTrue(QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 1, 0, true).local());
+        assertTrue(QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 4, 0, false).local());
+        assertEquals(
+                1, QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 0, 0, true).gatewayCount());
         assertEquals(
                 HOLDER.key(),
-                QuotaHolder.of("c rate", PolicyValues.RATE, 9, 3, true).key());
+                QuotaHolder.of("c rate", PolicyFixtures.RATE_PLAN, 9, 3, true).key());
     }
 
     @Test
--- a/src/test/java/quotagateway/policy/retry/RetryTest.java
+++ b/src/test/java/quotagateway/policy/retry/RetryTest.java
@@ -23,25 +23,26 @@
 import quotagateway.policy.health.ClassLatency;
 import quotagateway.policy.slowstart.FleetSizeEstimator;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 
-/** Which requests may be sent again, where and until when. */
+/** Tests of the retry rules: which requests may be retried, at which endpoints and until when. */
 class RetryTest {
-    private static final RequestClass IDEMPOTENT = PolicyValues.READ;
+    private static final RequestClass IDEMPOTENT = PolicyFixtures.READ;
     private static final RequestClass KEYED_ZONE =
-            PolicyValues.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE, 400);
+            PolicyFixtures.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ZONE, 400);
     private static final RequestClass KEYED_CELL =
-            PolicyValues.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 400);
+            PolicyFixtures.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 400);
     private static final RequestClass KEYED_ALL =
-            PolicyValues.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL, 400);
-    private static final RequestClass ONCE = PolicyValues.requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL, 0);
+            PolicyFixtures.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.ALL, 400);
+    private static final RequestClass NON_IDEMPOTENT =
+            PolicyFixtures.requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL, 0);
 
     private final IdempotencyRule rule = new IdempotencyRule(4);
     private final RetryPolicy policy = new RetryPolicy(rule, 3, 4);
     private final EndpointRegistry endpoints = new EndpointRegistry(
-            PolicyValues.settings(1),
+            PolicyFixtures.settings(1),
             new LatencyObjectives(800, 800),
             new EventClock(0),
             new RecordingActions(),
@@ -51,7 +52,7 @@
     @BeforeEach
     void listEndpoints() {
         List<EndpointDescriptor> list = IntStream.range(0, 6)
-                .mapToObj(number -> PolicyValues.endpoint(number, EndpointState.UP))
+                .mapToObj(number -> PolicyFixtures.endpoint(number, EndpointState.UP))
                 .toList();
         endpoints.update(list, true);
         endpoints.refresh(true, 0);
@@ -61,7 +62,7 @@
         return endpoints.find("s" + number);
     }
 
-    /** The history of a request that was sent to endpoint 0 at 100 ms, and ended so; null while in flight. */
+    /** Returns the history of one attempt at endpoint 0, sent at 100 ms, with this outcome; null for in flight. */
     private AttemptHistory sentOnce(RequestClass requestClass, CallOutcome outcome) {
         AttemptHistory history = new AttemptHistory(requestClass);
         Attempt attempt = endpoint(0).startAttempt(new ClassLatency(requestClass), 100);
@@ -73,9 +74,9 @@
     }
 
     @Test
-    void attemptsThatProvablyNeverRanBindNothing() {
+    void attemptsThatProvablyNeverRanRestrictNothing() {
         for (CallOutcome outcome : List.of(CallOutcome.FULL, CallOutcome.NO_CONNECTION, CallOutcome.NOT_SENT)) {
-            AttemptHistory history = sentOnce(ONCE, outcome);
+            AttemptHistory history = sentOnce(NON_IDEMPOTENT, outcome);
             assertTrue(rule.mayRetry(history, 5000), outcome.name());
             assertTrue(rule.mayReject(history), outcome.name());
             assertTrue(rule.isInScope(sentOnce(KEYED_CELL, outcome), endpoint(5)));
@@ -85,14 +86,14 @@
     @Test
     void nonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected() {
         for (CallOutcome outcome : List.of(CallOutcome.ERROR, CallOutcome.RESET, CallOutcome.TIMEOUT)) {
-            AttemptHistory history = sentOnce(ONCE, outcome);
+            AttemptHistory history = sentOnce(NON_IDEMPOTENT, outcome);
             assertFalse(rule.mayRetry(history, 101), outcome.name());
             assertFalse(rule.mayReject(history), outcome.name());
         }
     }
 
     @Test
-    void keyIsGoodForItsWindowLessTheMargin() {
+    void keyIsValidForItsWindowLessTheMargin() {
         AttemptHistory history = sentOnce(KEYED_ALL, CallOutcome.ERROR);
         assertTrue(rule.mayRetry(history, 100 + 395));
         assertFalse(rule.mayRetry(history, 100 + 396));
@@ -100,7 +101,7 @@
     }
 
     @Test
-    void keyIsGoodInItsScopeOnly() {
+    void keyIsValidOnlyInItsScope() {
         AttemptHistory zone = sentOnce(KEYED_ZONE, CallOutcome.ERROR);
         AttemptHistory cell = sentOnce(KEYED_CELL, CallOutcome.ERROR);
         AttemptHistory all = sentOnce(KEYED_ALL, CallOutcome.ERROR);
@@ -112,31 +113,31 @@
     }
 
     @Test
-    void requestBoundToAScopeIsNotRejectedOnceItMayHaveRun() {
+    void requestLimitedToAScopeIsNotRejectedOnceItMayHaveRun() {
         assertFalse(rule.mayReject(sentOnce(KEYED_ZONE, CallOutcome.ERROR)));
         assertTrue(rule.mayReject(sentOnce(KEYED_ALL, CallOutcome.ERROR)));
         assertTrue(rule.mayReject(new AttemptHistory(KEYED_ZONE)));
     }
 
     @Test
-    void reasonsAgainstARetryAreTimeThenIdempotencyThenAttempts() {
+    void denialReasonsAreTimeThenIdempotencyThenAttempts() {
         AttemptHistory once = sentOnce(IDEMPOTENT, CallOutcome.ERROR);
-        assertEquals(Optional.empty(), policy.reasonAgainst(once, 900, 2000, 895));
-        assertEquals(Optional.of(FailureReason.NO_TIME_TO_REPEAT), policy.reasonAgainst(once, 900, 2000, 900));
-        assertEquals(Optional.of(FailureReason.NO_TIME_TO_REPEAT), policy.reasonAgainst(once, 900, 900, 896));
+        assertEquals(Optional.empty(), policy.denialReason(once, 900, 2000, 895));
+        assertEquals(Optional.of(FailureReason.NO_TIME_TO_REPEAT), policy.denialReason(once, 900, 2000, 900));
+        assertEquals(Optional.of(FailureReason.NO_TIME_TO_REPEAT), policy.denialReason(once, 900, 900, 896));
         assertEquals(
                 Optional.of(FailureReason.NOT_REPEATABLE),
-                policy.reasonAgainst(sentOnce(ONCE, CallOutcome.ERROR), 900, 2000, 200));
+                policy.denialReason(sentOnce(NON_IDEMPOTENT, CallOutcome.ERROR), 900, 2000, 200));
         for (int i = 0; i < 2; i++) {
             Attempt next = endpoint(1).startAttempt(new ClassLatency(IDEMPOTENT), 200);
             once.add(next);
             next.end(CallOutcome.ERROR);
         }
-        assertEquals(Optional.of(FailureReason.ATTEMPTS_USED), policy.reasonAgainst(once, 900, 2000, 300));
+        assertEquals(Optional.of(FailureReason.ATTEMPTS_USED), policy.denialReason(once, 900, 2000, 300));
     }
 
     @Test
-    void historyKnowsWhatIsInFlightAndWhereItWasSent() {
+    void historyShowsWhichAttemptsAreInFlightAndWhereTheyWereSent() {
         AttemptHistory history = sentOnce(IDEMPOTENT, null);
         assertTrue(history.isInFlight(0));
         assertFalse(history.isInFlight(1));
--- a/src/test/java/quotagateway/policy/routing/RoutingTest.java
+++ b/src/test/java/quotagateway/policy/routing/RoutingTest.java
@@ -25,19 +25,19 @@
 import quotagateway.policy.slowstart.FleetSizeEstimator;
 import quotagateway.policy.slowstart.SlowStartRate;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
 import quotagateway.policy.traffic.SendRateLimiter;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** Which endpoint an attempt goes to, and what its end teaches. */
+/** Tests of the choice of endpoints and of how the outcomes of attempts are recorded. */
 class RoutingTest {
     private static final RequestClass KEYED_CELL =
-            PolicyValues.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 5000);
+            PolicyFixtures.requestClass(Idempotency.IDEMPOTENCY_KEY, RetryScope.CELL, 5000);
 
-    private final PolicySettings settings = PolicyValues.settings(1);
+    private final PolicySettings settings = PolicyFixtures.settings(1);
     private final EventClock clock = new EventClock(100_000);
     private final RecordingActions host = new RecordingActions();
     private final LatencyObjectives objectives = new LatencyObjectives(800, 800);
@@ -54,13 +54,13 @@
             clock,
             new Random(2));
     private final OutcomeRecorder recorder = new OutcomeRecorder(endpoints, limiter, clock);
-    private final ClassLatency read = new ClassLatency(PolicyValues.READ);
+    private final ClassLatency read = new ClassLatency(PolicyFixtures.READ);
 
     @BeforeEach
     void listEndpoints() {
         endpoints.update(
                 IntStream.range(0, 4)
-                        .mapToObj(number -> PolicyValues.endpoint(number, EndpointState.UP))
+                        .mapToObj(number -> PolicyFixtures.endpoint(number, EndpointState.UP))
                         .toList(),
                 true);
         endpoints.refresh(true, 0);
@@ -72,7 +72,7 @@
     }
 
     private Endpoint pick() {
-        return picker.pick(new AttemptHistory(PolicyValues.READ));
+        return picker.pick(new AttemptHistory(PolicyFixtures.READ));
     }
 
     private void end(Endpoint endpoint, CallOutcome outcome, double tookMs) {
@@ -93,7 +93,7 @@
     void slowOrFailingEndpointIsAvoided() {
         for (int i = 0; i < 20; i++) {
             endpoint(0).latency().record(5, clock.now());
-            endpoint(1).failures().recordFailure(PolicyValues.READ, clock.now());
+            endpoint(1).failures().recordFailure(PolicyFixtures.READ, clock.now());
             endpoint(2).startAttempt(read, clock.now());
         }
         for (int i = 0; i < 20; i++) {
@@ -102,8 +102,8 @@
     }
 
     @Test
-    void endpointOfAnEarlierAttemptIsAvoidedWhereThereAreOthers() {
-        AttemptHistory history = new AttemptHistory(PolicyValues.READ);
+    void endpointOfAnEarlierAttemptIsAvoidedIfThereAreOthers() {
+        AttemptHistory history = new AttemptHistory(PolicyFixtures.READ);
         Attempt attempt = endpoint(0).startAttempt(read, clock.now());
         history.add(attempt);
         attempt.end(CallOutcome.ERROR);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void ejectedEndpointsGetNothing() {
+    void ejectedEndpointsGetNoRequests() {
         for (int number = 0; number < 4; number++) {
             endpoint(number).outlierDetector().eject(clock.now());
         }
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void uncordonedEndpointGetsTheFirstRequestThatIsDueThere() {
+    void uncordonedEndpointGetsItsFirstRequestWhenItIsDue() {
         endpoint(2).ramp().start(clock.now());
         endpoint(2).slowStartBudget().restart(0, clock.now());
         endpoint(2).ramp().expectFirstRequestAt(clock.now() + 100);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void retryBoundToACellStaysThere() {
+    void retryLimitedToACellStaysInIt() {
         AttemptHistory history = new AttemptHistory(KEYED_CELL);
         Attempt attempt = endpoint(0).startAttempt(new ClassLatency(KEYED_CELL), clock.now());
         history.add(attempt);
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void fleetIsNeverEjectedBeyondHalf() {
+    void atMostHalfOfTheFleetIsEjected() {
         for (int number = 0; number < 4; number++) {
             for (int i = 0; i < 5; i++) {
                 end(endpoint(number), CallOutcome.NO_CONNECTION, 1);
@@ -170,20 +170,20 @@
             end(endpoint(0), CallOutcome.ERROR, 5);
         }
         assertFalse(endpoint(0).isEjected(clock.now()));
-        assertTrue(endpoint(0).failures().failureShare(PolicyValues.READ, clock.now()) > 0.9);
+        assertTrue(endpoint(0).failures().failureShare(PolicyFixtures.READ, clock.now()) > 0.9);
     }
 
     @Test
-    void cancelledAttemptsTeachNothing() {
+    void cancelledAndUnsentAttemptsChangeNoEstimate() {
         end(endpoint(0), CallOutcome.CANCELLED, 5000);
         end(endpoint(0), CallOutcome.NOT_SENT, 5000);
         assertEquals(1, endpoint(0).slowness(clock.now()));
-        assertEquals(0, endpoint(0).failures().failureShare(PolicyValues.READ, clock.now()));
+        assertEquals(0, endpoint(0).failures().failureShare(PolicyFixtures.READ, clock.now()));
         assertEquals(100, read.meanMs());
     }
 
     @Test
-    void endpointThatWasUnreachableOnTrialStartsSlowlyOnceItAnswers() {
+    void endpointThatWasUnreachableOnTrialEntersSlowStartOnceItResponds() {
         for (int i = 0; i < 2; i++) {
             end(endpoint(0), CallOutcome.NO_CONNECTION, 1);
         }
--- a/src/test/java/quotagateway/policy/slowstart/SlowStartPartsTest.java
+++ b/src/test/java/quotagateway/policy/slowstart/SlowStartPartsTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 /** The parts of slow start one by one. */
 class SlowStartPartsTest {
-    private final RecoveryRamp ramp = new RecoveryRamp(PolicyValues.RULES);
-    private final SlowStartBudget budget = new SlowStartBudget(PolicyValues.RULES);
+    private final RecoveryRamp ramp = new RecoveryRamp(PolicyFixtures.RULES);
+    private final SlowStartBudget budget = new SlowStartBudget(PolicyFixtures.RULES);
     private final FleetSizeEstimator fleetSize = new FleetSizeEstimator();
 
     @Test
--- a/src/test/java/quotagateway/policy/slowstart/SlowStartRateTest.java
+++ b/src/test/java/quotagateway/policy/slowstart/SlowStartRateTest.java
@@ -6,7 +6,7 @@
 import quotagateway.policy.api.PolicySettings;
 import quotagateway.policy.api.ServiceRules;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
@@ -14,7 +14,7 @@
 import quotagateway.policy.traffic.TrafficMeter;
 
 class SlowStartRateTest {
-    private final PolicySettings settings = PolicyValues.settings(1);
+    private final PolicySettings settings = PolicyFixtures.settings(1);
     private final EventClock clock = new EventClock(0);
     private final TrafficMeter traffic = new TrafficMeter();
     private final FleetSizeEstimator fleetSize = new FleetSizeEstimator();
@@ -41,7 +41,7 @@
     void endpointInSlowStartGetsItsPartOfWhatIsSent() {
         traffic(10, 10);
         fleetSize.onGrowth(20);
-        assertEquals(2 * 0.5, sendsPerSecond(PolicyValues.RULES, 0.5), 1e-3, "40 a second to 20 endpoints");
+        assertEquals(2 * 0.5, sendsPerSecond(PolicyFixtures.RULES, 0.5), 1e-3, "40 a second to 20 endpoints");
     }
 
     @Test
@@ -51,9 +51,9 @@
             traffic.onRequest();
             traffic.endPeriod();
         }
-        assertEquals(traffic.sendsPerSecond(), sendsPerSecond(PolicyValues.RULES, 1), 1e-9, "no rate is allowed");
+        assertEquals(traffic.sendsPerSecond(), sendsPerSecond(PolicyFixtures.RULES, 1), 1e-9, "no rate is allowed");
         limiter.startWith(100);
-        assertEquals(traffic.requestsPerSecond() * traffic.sentShare(), sendsPerSecond(PolicyValues.RULES, 1), 1e-9);
+        assertEquals(traffic.requestsPerSecond() * traffic.sentShare(), sendsPerSecond(PolicyFixtures.RULES, 1), 1e-9);
     }
 
     @Test
--- a/src/test/java/quotagateway/policy/testing/PolicyValues.java
+++ b/src/test/java/quotagateway/policy/testing/PolicyFixtures.java
@@ -12,19 +12,19 @@
 import quotagateway.policy.api.RetryScope;
 import quotagateway.policy.api.ServiceRules;
 
-/** Values that tests of single modules share. */
-public final class PolicyValues {
-    /** Slow start from a fifth in 10 s, overload at twice the capacity in 2 s. */
+/** Settings, classes, plans and endpoints shared by the tests of single modules. */
+public final class PolicyFixtures {
+    /** Slow start from a fifth of the capacity over 10 s; overload at twice the capacity over 2 s. */
     public static final ServiceRules RULES = new ServiceRules(16, 250, 0.2, 10_000, 2, 2000);
 
     public static final RequestClass READ =
             new RequestClass("read", Idempotency.IDEMPOTENT, RetryScope.ALL, 800, 2000, 1, 0, 0, false);
-    /** 8 units a second, burst 8. */
-    public static final QuotaPlan RATE = new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0);
+    /** 8 units per second, burst 8. */
+    public static final QuotaPlan RATE_PLAN = new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0);
 
-    private PolicyValues() {}
+    private PolicyFixtures() {}
 
-    /** Gateway 0 of so many, with a tick of 2 ms and a counter that has 50 ms for a reply. */
+    /** Returns the settings of gateway 0, with a timer resolution of 2 ms and a counter timeout of 50 ms. */
     public static PolicySettings settings(int gateways) {
         return settings(0, gateways, true);
     }
@@ -40,7 +40,7 @@
                 1,
                 List.of(),
                 List.of(READ),
-                List.of(RATE),
+                List.of(RATE_PLAN),
                 new Capabilities(true, true, true, true, false, sharedCounter, 5, 2000, 50),
                 RULES,
                 new CostWeights(0.05, 0.01, 0.02, 0, 0.03));
@@ -50,7 +50,7 @@
         return new RequestClass("class", idempotency, scope, 800, 2000, 1, 0, windowMs, false);
     }
 
-    /** An endpoint that started long ago, two of them in each cell and every other cell in zone a. */
+    /** Returns an endpoint that started long ago; a cell has two endpoints, and every other cell is in zone a. */
     public static EndpointDescriptor endpoint(int number, EndpointState state) {
         return endpoint(number, state, 0);
     }
--- a/src/test/java/quotagateway/policy/testing/RecordingActions.java
+++ b/src/test/java/quotagateway/policy/testing/RecordingActions.java
@@ -6,19 +6,19 @@
 import quotagateway.policy.api.FailureReason;
 import quotagateway.policy.api.PolicyActions;
 
-/** Keeps every action as a line. */
+/** Records every action as a line of text. */
 public final class RecordingActions implements PolicyActions {
     private final List<String> lines = new ArrayList<>();
     private final List<Long> counterNames = new ArrayList<>();
 
-    /** The actions since the last call. */
+    /** Returns the actions since the last call. */
     public List<String> take() {
         List<String> taken = List.copyOf(lines);
         lines.clear();
         return taken;
     }
 
-    /** The names of the counter calls since the last call. */
+    /** Returns the names of the counter calls since the last call of this method. */
     public List<Long> takeCounterNames() {
         List<Long> taken = List.copyOf(counterNames);
         counterNames.clear();
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double until) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
         lines.add("send " + requestId + " " + endpoint);
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepForMs) {
+    public void addToCounter(long name, double amount, double ttlMs) {
         lines.add("add " + amount);
         counterNames.add(name);
     }
--- a/src/test/java/quotagateway/policy/timer/ResplitScheduleTest.java
+++ b/src/test/java/quotagateway/policy/timer/ResplitScheduleTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 
 class ResplitScheduleTest {
     @Test
     void nextResplitIsAtTheEndOfThePeriod() {
-        ResplitSchedule schedule = new ResplitSchedule(PolicyValues.settings(2));
+        ResplitSchedule schedule = new ResplitSchedule(PolicyFixtures.settings(2));
         assertEquals(250, schedule.nextAfter(0));
         assertEquals(250, schedule.nextAfter(249));
         assertEquals(500, schedule.nextAfter(250));
@@ -17,8 +17,8 @@
 
     @Test
     void gatewaysSpreadTheirResplitsOverThePeriod() {
-        assertEquals(125, new ResplitSchedule(PolicyValues.settings(1, 2, true)).nextAfter(0));
-        assertEquals(62.5, new ResplitSchedule(PolicyValues.settings(1, 4, true)).nextAfter(0));
+        assertEquals(125, new ResplitSchedule(PolicyFixtures.settings(1, 2, true)).nextAfter(0));
+        assertEquals(62.5, new ResplitSchedule(PolicyFixtures.settings(1, 4, true)).nextAfter(0));
     }
 
     /**
@@ -29,7 +29,7 @@
     void nextResplitIsAfterTheOneThatIsDueNow() {
         for (int gateways = 1; gateways <= 60; gateways++) {
             for (int gateway = 0; gateway < gateways; gateway++) {
-                ResplitSchedule schedule = new ResplitSchedule(PolicyValues.settings(gateway, gateways, true));
+                ResplitSchedule schedule = new ResplitSchedule(PolicyFixtures.settings(gateway, gateways, true));
                 double now = 0;
                 for (int i = 0; i < 40; i++) {
                     double next = schedule.nextAfter(now);
--- a/src/test/java/quotagateway/policy/traffic/SendRateLimiterTest.java
+++ b/src/test/java/quotagateway/policy/traffic/SendRateLimiterTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.statistics.LatencyObjectives;
-import quotagateway.policy.testing.PolicyValues;
+import quotagateway.policy.testing.PolicyFixtures;
 import quotagateway.policy.testing.RecordingActions;
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
@@ -17,7 +17,7 @@
     private final RecordingActions host = new RecordingActions();
     private final TrafficMeter traffic = new TrafficMeter();
     private final SendRateLimiter limiter = new SendRateLimiter(
-            PolicyValues.settings(2), new LatencyObjectives(800, 800), clock, new TimerQueue(clock, host), traffic);
+            PolicyFixtures.settings(2), new LatencyObjectives(800, 800), clock, new TimerQueue(clock, host), traffic);
 
     private void requestsInEachPeriod(int requests, int periods) {
         for (int period = 0; period < periods; period++) {
