--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -95,7 +95,7 @@
                 limiter,
                 traffic,
                 counterCalls,
-                QuotaContext.newUsualGrant());
+                QuotaContext.newAverageGrantRatio());
         CustomerDirectory customers = new CustomerDirectory(settings, quotaContext, resplit, clock);
 
         IdempotencyRule idempotency = new IdempotencyRule(marginMs);
--- a/src/main/java/quotagateway/policy/admission/CustomerQueue.java
+++ b/src/main/java/quotagateway/policy/admission/CustomerQueue.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public double lastLatestStart() {
+    public double maxLatestStart() {
         return waiting.last().latestStart();
     }
 
--- a/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
+++ b/src/main/java/quotagateway/policy/admission/RequestDispatcher.java
@@ -64,7 +64,7 @@
 
     private AdmissionQueue.SendResult trySend(PendingRequest request) {
         CustomerQuota quota = request.customer().quota();
-        if (!quota.admits(request)) {
+        if (!quota.tryAdmit(request)) {
             return AdmissionQueue.SendResult.CUSTOMER_BLOCKED;
         }
         Endpoint endpoint = sender.pick(request);
--- a/src/main/java/quotagateway/policy/admission/RequestIntake.java
+++ b/src/main/java/quotagateway/policy/admission/RequestIntake.java
@@ -81,7 +81,7 @@
                 nextSequenceNumber++);
         requests.add(request);
         if ((incoming.retry() && customer.queue().rejectsRetries(clock.now()))
-                || (!isWithinObjective && !customer.quota().hasPlenty())) {
+                || (!isWithinObjective && !customer.quota().hasAmpleQuota())) {
             requests.rejectOrFail(request, FailureReason.QUOTA_SHORT);
         } else {
             dispatcher.enqueue(request);
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyQuota.java
@@ -4,68 +4,68 @@
 import quotagateway.policy.api.CallOutcome;
 
 /**
- * The bound on requests that one customer may have open at once, over all gateways: each open request holds a slot,
- * which is taken by adding 1 to a count on the shared counter. A slot that is free here is used again by the next
- * request, and returned when none waits.
+ * Bounds the requests that one customer may have open at the same time over all gateways. Each open request holds a
+ * slot, which is taken by adding 1 to a count on the shared counter. A slot that becomes free on this gateway is reused
+ * for the next request, and returned to the counter if no request waits.
  */
 final class ConcurrencyQuota {
-    /** A try that found all slots taken is repeated after this: a few of the shortest ticks. */
+    /** Delay after which a slot is requested again if all were taken: a few of the shortest timer ticks. */
     private static final double RETRY_DELAY_MS = 25;
 
-    private final QuotaHolder holder;
+    private final QuotaScope scope;
     private final QuotaContext context;
     private final QuotaDemand demand;
     private final CustomerCounter counter;
     private final GrantEstimator grants;
-    /** For each slot the epoch of the count that it was taken from, and has to be returned to. */
+    /** For each slot held, the epoch of the count from which it was taken and to which it has to be returned. */
     private final ArrayDeque<Long> slotEpochs = new ArrayDeque<>(1);
 
-    private long triedEpoch;
+    private long requestedEpoch;
 
     ConcurrencyQuota(
-            QuotaHolder holder,
+            QuotaScope scope,
             QuotaContext context,
             QuotaDemand demand,
             CustomerCounter counter,
             GrantEstimator grants) {
-        this.holder = holder;
+        this.scope = scope;
         this.context = context;
         this.demand = demand;
         this.counter = counter;
         this.grants = grants;
     }
 
-    /** Whether one more request may be opened now; if not, a slot is asked for where that is possible. */
+    /** Returns whether another request may be opened now; if not, requests a slot where a counter call is possible. */
     boolean allowsAnother() {
-        int limit = holder.plan().concurrencyLimit();
+        int limit = scope.plan().concurrencyLimit();
         int open = demand.attemptsInFlight();
         if (open < slotEpochs.size()) {
             return true;
         }
-        if (holder.local() || !counter.mayCall()) {
-            // the even part; where that is under one, one at a time while the last counts left something
-            return open < limit / holder.gatewayCount() || (open == 0 && grants.paysToAdmitUnasked());
+        if (scope.local() || !counter.mayCall()) {
+            // the even share; if it is below 1, one request at a time while the last counts left free slots
+            return open < limit / scope.gatewayCount() || (open == 0 && grants.isWorthAdmittingWithoutCounter());
         }
         double now = context.now();
         if (counter.isReadyForExchange(now)) {
             counter.beginExchange();
-            triedEpoch = CounterEpoch.openCountAt(now);
-            counter.addToOpenCount(triedEpoch, 1, this::onTryReply);
+            requestedEpoch = CounterEpoch.openCountEpochAt(now);
+            counter.addToOpenCount(requestedEpoch, 1, this::onSlotReply);
         }
         return false;
     }
 
-    private void onTryReply(CallOutcome outcome, double total) {
+    private void onSlotReply(CallOutcome outcome, double total) {
         counter.endExchange();
         if (outcome != CallOutcome.OK) {
             return;
         }
-        boolean granted = total <= holder.plan().concurrencyLimit();
-        grants.recordSlot(granted);
+        boolean granted = total <= scope.plan().concurrencyLimit();
+        grants.recordSlotReply(granted);
         if (granted) {
-            slotEpochs.add(triedEpoch);
+            slotEpochs.add(requestedEpoch);
         } else {
-            returnSlot(triedEpoch);
+            returnSlot(requestedEpoch);
             double retryAt = context.now() + RETRY_DELAY_MS;
             counter.deferExchangeUntil(retryAt);
             context.timers().scheduleWakeUp(retryAt);
@@ -79,7 +79,7 @@
         }
     }
 
-    /** A return that is lost is forgotten with its epoch. */
+    /** Returns a slot to its count. If the call is lost, the slot becomes free when the epoch of the count ends. */
     private void returnSlot(long epoch) {
         counter.addToOpenCount(epoch, -1, (outcome, total) -> {});
     }
--- a/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
@@ -7,36 +7,36 @@
 import quotagateway.policy.timer.TimerQueue;
 
 /**
- * How many calls to the shared counter this gateway may have in flight, as TCP's congestion window (additive increase,
- * multiplicative decrease): the counter serves calls one behind another, and a queue there makes those of all gateways
- * late. A window below 1 is a pause between calls, as one call of every gateway can be too many.
+ * Limits how many calls to the shared counter this gateway may have in flight, like TCP's congestion window (additive
+ * increase, multiplicative decrease): the counter serves calls sequentially, and a queue there delays the calls of all
+ * gateways. A window below 1 means a pause between calls, as even one call per gateway can be too many.
  */
 public final class CounterCallWindow {
-    /** Calls of all gateways in flight together at first. */
-    private static final double INITIAL_CALLS_OF_ALL = 16;
-    /** A gateway's connections to the counter hold no more without a queue. */
+    /** Initial number of calls in flight of all gateways together. */
+    private static final double INITIAL_FLEET_CALLS = 16;
+    /** A gateway's connections to the counter carry no more calls without a queue. */
     private static final double MAX_WINDOW = 32;
-    /** The least, as a large tier needs it: pauses are 16 time limits long at the most. */
+    /** Lower bound for a large fleet: pauses are at most 16 call timeouts long on average. */
     private static final double MIN_WINDOW = 1.0 / 16;
-    /** A reply within this part of its time limit met no queue: the window grows. */
-    private static final double QUICK_PART_OF_TIMEOUT = 1.0 / 4;
-    /** One past this part was long in a queue: what is added to it comes too late. */
-    private static final double SLOW_PART_OF_TIMEOUT = 1.0 / 2;
-    /** Decrease by a slow call. */
-    private static final double SLOW_FACTOR = 0.9;
-    /** Decrease by a lost call, which stays in the queue though no one waits for it any more. */
-    private static final double LOST_FACTOR = 0.7;
-    /** Below 1 a quick call adds this part of the window, so that six make up for a lost one. */
-    private static final double PAUSED_GROWTH = 1.0 / 16;
-    /** And no less than this, as there are few calls to learn from where the pauses are long. */
-    private static final double MIN_PAUSED_GROWTH = 1.0 / 64;
+    /** A reply within this fraction of the call timeout met no queue: the window grows. */
+    private static final double QUICK_TIMEOUT_FRACTION = 1.0 / 4;
+    /** A reply after this fraction of the call timeout waited long in a queue: further calls would be late. */
+    private static final double SLOW_TIMEOUT_FRACTION = 1.0 / 2;
+    /** Decrease of the window for a slow call. */
+    private static final double SLOW_DECREASE_FACTOR = 0.9;
+    /** Decrease of the window for a lost call, which stays in the counter's queue although its caller has given up. */
+    private static final double LOST_DECREASE_FACTOR = 0.7;
+    /** A quick call adds this fraction of a window below 1, so that six quick calls make up for a lost one. */
+    private static final double PACED_GROWTH_FRACTION = 1.0 / 16;
+    /** Lower bound of that growth, as long pauses leave few calls to learn from. */
+    private static final double MIN_PACED_GROWTH = 1.0 / 64;
 
     private final PolicySettings settings;
     private final EventClock clock;
     private final TimerQueue timers;
     private final Random random;
     private double window;
-    private double pausedUntil;
+    private double resumeAt;
     private int inFlight;
 
     public CounterCallWindow(PolicySettings settings, EventClock clock, TimerQueue timers, Random random) {
@@ -44,29 +44,29 @@
         this.clock = clock;
         this.timers = timers;
         this.random = random;
-        window = Math.max(1, INITIAL_CALLS_OF_ALL / settings.nodeCount());
+        window = Math.max(1, INITIAL_FLEET_CALLS / settings.nodeCount());
     }
 
-    /** The window, which is below 1 where there are pauses between calls. */
+    /** Returns the window, which is below 1 if there are pauses between calls. */
     double window() {
         return window;
     }
 
-    /** Whether another call may be made now. */
+    /** Returns whether another call may be made now. */
     boolean hasRoom() {
         return isNotPaused() && inFlight + 1 <= Math.max(1, window);
     }
 
-    /** As {@link #hasRoom}, with one call in flight at the most: to find out whether the counter is back. */
+    /** Like {@link #hasRoom}, but with at most one call in flight, which tests whether the counter responds again. */
     boolean hasRoomForProbe() {
         return isNotPaused() && inFlight == 0;
     }
 
     private boolean isNotPaused() {
-        return clock.now() >= pausedUntil;
+        return clock.now() >= resumeAt;
     }
 
-    /** A call is about to be made. */
+    /** Called right before a call is made. */
     void onCall() {
         inFlight++;
         if (window < 1) {
@@ -74,35 +74,38 @@
         }
     }
 
-    /** A call has ended. */
+    /** Called when a call has ended. */
     void onReply(CallOutcome outcome, double tookMs) {
         inFlight--;
         double timeout = settings.capabilities().counterTimeout();
         if (outcome == CallOutcome.FULL || outcome == CallOutcome.TIMEOUT) {
-            window *= LOST_FACTOR;
-            // otherwise one call of each gateway is in flight again at once, and the queue never drains
+            window *= LOST_DECREASE_FACTOR;
+            // without a pause each gateway has a call in flight again immediately, and the queue never drains
             pause(timeout);
-        } else if (outcome == CallOutcome.OK && tookMs > timeout * SLOW_PART_OF_TIMEOUT) {
-            window *= SLOW_FACTOR;
-        } else if (outcome == CallOutcome.OK && tookMs < timeout * QUICK_PART_OF_TIMEOUT && wasUsedUp()) {
-            window += window < 1 ? Math.max(MIN_PAUSED_GROWTH, window * PAUSED_GROWTH) : 1 / window;
+        } else if (outcome == CallOutcome.OK && tookMs > timeout * SLOW_TIMEOUT_FRACTION) {
+            window *= SLOW_DECREASE_FACTOR;
+        } else if (outcome == CallOutcome.OK && tookMs < timeout * QUICK_TIMEOUT_FRACTION && wasFull()) {
+            window += window < 1 ? Math.max(MIN_PACED_GROWTH, window * PACED_GROWTH_FRACTION) : 1 / window;
         }
-        window = Math.max(smallestWindow(), Math.min(MAX_WINDOW, window));
+        window = Math.max(minWindow(), Math.min(MAX_WINDOW, window));
     }
 
-    /** Whether the window had no room for one more call when the one that has just ended was in flight. */
-    private boolean wasUsedUp() {
+    /** Returns whether the window had no room for another call while the call that just ended was in flight. */
+    private boolean wasFull() {
         return inFlight + 2 > window;
     }
 
-    /** A small tier cannot queue at the counter: late calls there come of a slow event loop, or of silence. */
-    private double smallestWindow() {
-        return Math.max(MIN_WINDOW, Math.min(1, INITIAL_CALLS_OF_ALL / settings.nodeCount()));
+    /**
+     * Returns the lower bound of the window. A small fleet cannot build up a queue at the counter: its calls are late
+     * because of a slow event loop or an unresponsive counter.
+     */
+    private double minWindow() {
+        return Math.max(MIN_WINDOW, Math.min(1, INITIAL_FLEET_CALLS / settings.nodeCount()));
     }
 
-    /** No calls for a random time around the mean, so that gateways don't come back together. */
+    /** Pauses calls for a random time around the mean, so that gateways do not resume together. */
     private void pause(double meanMs) {
-        pausedUntil = Math.max(pausedUntil, clock.now() + meanMs * (0.5 + random.nextDouble()));
-        timers.scheduleWakeUp(pausedUntil);
+        resumeAt = Math.max(resumeAt, clock.now() + meanMs * (0.5 + random.nextDouble()));
+        timers.scheduleWakeUp(resumeAt);
     }
 }
--- a/src/main/java/quotagateway/policy/quota/CounterReplyHandler.java
+++ b/src/main/java/quotagateway/policy/quota/CounterReplyHandler.java
@@ -2,11 +2,11 @@
 
 import quotagateway.policy.api.CallOutcome;
 
-/** Takes the reply to one call to the shared counter; called once. */
+/** Handles the reply to one call to the shared counter; called exactly once. */
 @FunctionalInterface
 interface CounterReplyHandler {
     /**
-     * The call has ended.
+     * Called when the call has ended.
      *
      * @param total the counter's new value, where the outcome is {@link CallOutcome#OK}
      */
--- a/src/main/java/quotagateway/policy/quota/CreditBalance.java
+++ b/src/main/java/quotagateway/policy/quota/CreditBalance.java
@@ -3,18 +3,18 @@
 import java.util.ArrayDeque;
 
 /**
- * The units that a gateway has in hand for one customer (credits): leased from the counter, some of them only from a
- * later time on, or taken from the gateway's share of the rate while the counter is away. The latter have to be
- * reported to the counter once they are spent.
+ * The units that a gateway holds for one customer (credits): leased from the counter, some of them available only from
+ * a later time on, or accrued from the gateway's share of the rate while the counter does not respond. Accrued units
+ * have to be reported to the counter once they are spent.
  */
 final class CreditBalance {
-    /** Parts that fall due within this time are due: times are sums of rounded numbers. */
+    /** Units that fall due within this time count as due, as due times are sums of rounded numbers. */
     private static final double DUE_TOLERANCE_MS = 1e-6;
 
-    /** When each leased unit that is not there yet falls due, the earliest first. */
+    /** When each leased unit that is not available yet falls due, the earliest first. */
     private final ArrayDeque<Double> dueTimes = new ArrayDeque<>(1); // empty for most customers
 
-    /** How many of them there are: it is looked at for every customer at every re-split. */
+    /** The size of {@link #dueTimes}, kept as a field because every re-split reads it for every customer. */
     private int scheduledUnits;
 
     private final boolean local;
@@ -29,27 +29,27 @@
         accruedAt = now;
     }
 
-    /** Whether no other gateway shares the quota. */
+    /** Returns whether no other gateway shares the quota. */
     boolean isLocal() {
         return local;
     }
 
-    /** Units that may be spent now; below 0 where units were spent on an estimate. */
+    /** Returns the units that may be spent now; below 0 if units were spent based on an estimate. */
     double credits() {
         return credits;
     }
 
-    /** Credits that the counter has not been told of. */
+    /** Returns the credits that were accrued and not reported to the counter. */
     double unreported() {
         return unreported;
     }
 
-    /** Leased units that fall due later. */
+    /** Returns the number of leased units that fall due later. */
     double scheduledUnits() {
         return scheduledUnits;
     }
 
-    /** When the share of the rate was last given out. */
+    /** Returns when the share of the rate was last accrued. */
     double accruedAt() {
         return accruedAt;
     }
@@ -63,13 +63,15 @@
         credits += units;
     }
 
-    /** A leased unit becomes a credit at this time; later ones have to be scheduled later. */
+    /**
+     * Schedules a leased unit to become a credit at this time. Units must be scheduled in the order of their due times.
+     */
     void schedule(double dueAt) {
         dueTimes.add(dueAt);
         scheduledUnits++;
     }
 
-    /** Makes credits of the leased units that have fallen due. */
+    /** Turns leased units that have fallen due into credits. */
     void collectDue(double now) {
         while (scheduledUnits > 0 && dueTimes.peek() <= now + DUE_TOLERANCE_MS) {
             dueTimes.poll();
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Adds units of the gateway's share of the rate, as long as credits stay below a bound. */
+    /** Adds units of the gateway's share of the rate, as far as credits do not exceed a bound. */
     void accrue(double units, double maxCredits) {
         double accrued = Math.max(0, Math.min(maxCredits - credits, units));
         credits += accrued;
@@ -87,8 +89,8 @@
         }
     }
 
-    /** Takes credits back that are returned to the counter. */
-    void giveBack(double units) {
+    /** Deducts credits that are returned to the counter. */
+    void deduct(double units) {
         credits -= units;
     }
 
--- a/src/main/java/quotagateway/policy/quota/CustomerCounter.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerCounter.java
@@ -1,33 +1,33 @@
 package quotagateway.policy.quota;
 
 /**
- * One customer's totals on the shared counter. The customer has one exchange at a time that the quota waits for: a
- * claim of units, a carry-over or a try for a slot. Other calls (returns, corrections) go out beside it.
+ * One customer's totals on the shared counter. The quota waits for one exchange per customer at a time: a claim of
+ * units, a carry-over or a request for a slot. Other calls (returns, corrections) are made in parallel.
  */
 final class CustomerCounter {
     private final CustomerQuota quota;
-    private final long holderKey;
+    private final long quotaKey;
     private final CounterCalls calls;
     private boolean exchangeOpen;
     private double nextExchangeAt;
 
-    CustomerCounter(CustomerQuota quota, long holderKey, CounterCalls calls) {
+    CustomerCounter(CustomerQuota quota, long quotaKey, CounterCalls calls) {
         this.quota = quota;
-        this.holderKey = holderKey;
+        this.quotaKey = quotaKey;
         this.calls = calls;
     }
 
-    /** Whether a call may be made now, by any customer. */
+    /** Returns whether a call may be made now; this limit covers the calls of all customers. */
     boolean mayCall() {
         return calls.mayCall();
     }
 
-    /** Whether a reply is waited for. */
+    /** Returns whether an exchange waits for its reply. */
     boolean isExchangeOpen() {
         return exchangeOpen;
     }
 
-    /** Whether this customer may begin an exchange now, as far as it goes by its last one. */
+    /** Returns whether this customer's last exchange allows it to begin another one now. */
     boolean isReadyForExchange(double now) {
         return !exchangeOpen && now >= nextExchangeAt;
     }
@@ -40,25 +40,25 @@
         exchangeOpen = false;
     }
 
-    /** The next exchange has to wait until this time. */
+    /** Delays the next exchange until this time. */
     void deferExchangeUntil(double time) {
         nextExchangeAt = time;
     }
 
     void addUnits(long epoch, double amount, CounterReplyHandler handler) {
         calls.add(
-                CounterEpoch.unitsName(holderKey, epoch),
+                CounterEpoch.unitsTotalName(quotaKey, epoch),
                 amount,
-                CounterEpoch.KEPT_EPOCHS * CounterEpoch.LENGTH_MS,
+                CounterEpoch.RETAINED_EPOCHS * CounterEpoch.LENGTH_MS,
                 quota,
                 handler);
     }
 
     void addToOpenCount(long epoch, double amount, CounterReplyHandler handler) {
         calls.add(
-                CounterEpoch.openCountName(holderKey, epoch),
+                CounterEpoch.openCountName(quotaKey, epoch),
                 amount,
-                CounterEpoch.KEPT_EPOCHS * CounterEpoch.OPEN_COUNT_LENGTH_MS,
+                CounterEpoch.RETAINED_EPOCHS * CounterEpoch.OPEN_COUNT_LENGTH_MS,
                 quota,
                 handler);
     }
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -3,41 +3,44 @@
 import quotagateway.policy.api.QuotaPlan;
 
 /**
- * The quota of one customer on one plan, as this gateway sees it: decides whether a request may pass, and ties together
- * the lease of units from the shared counter, the bound on open requests and the hard limit. Where there is no counter,
- * or no other gateway, or the counter is silent, this gateway's share of the rate is given out without asking.
+ * The quota of one customer on one plan, as this gateway sees it: decides whether a request may be admitted, and
+ * combines the lease of units from the shared counter, the bound on open requests and the hard limit. If there is no
+ * counter or no other gateway, or the counter does not respond, this gateway admits by its share of the rate.
  */
 public final class CustomerQuota {
-    /** Units that a claim lacks only by rounding are not claimed. */
+    /** Tolerance for rounding errors (units): a shortage below it is not claimed. */
     private static final double ROUNDING = 1e-6;
-    /** A reading says what others do for about this time. */
-    private static final double READING_RELEVANT_MS = 4000;
-    /** Without a call a request passes only with this part of the burst left; half is left to gateways alike. */
-    private static final double UNASKED_PART_OF_BURST = 1.0 / 2;
-    /** With this part of the burst left, a request that is hardly of use takes nothing from others. */
-    private static final double PLENTY_PART_OF_BURST = 1.0 / 2;
-
-    private final QuotaHolder holder;
+    /** How long a reading of the counter indicates what other gateways take. */
+    private static final double READING_VALIDITY_MS = 4000;
+    /**
+     * A request is admitted without a counter call only if at least this fraction of the burst is left; this half is a
+     * reserve for other gateways that do the same.
+     */
+    private static final double MIN_BURST_FRACTION_WITHOUT_COUNTER = 1.0 / 2;
+    /** With this fraction of the burst left, a request of little use takes no units from other requests. */
+    private static final double AMPLE_BURST_FRACTION = 1.0 / 2;
+
+    private final QuotaScope scope;
     private final QuotaContext context;
     private final QuotaDemand demand;
     private final CreditBalance balance;
-    private final DemandEstimator usualDemand = new DemandEstimator();
+    private final DemandEstimator demandEstimator = new DemandEstimator();
     private final CustomerCounter counter;
     private final ShareCalculator share;
-    private final StoreEstimate estimate;
+    private final BucketLevelEstimate estimate;
     private final QuotaLease lease;
     private final GrantEstimator grants;
-    /** Null on plans that do not bound them. */
-    private final ConcurrencyQuota openRequests;
+    /** The bound on open requests; null on plans without one. */
+    private final ConcurrencyQuota concurrencyQuota;
 
     private final HardLimit hardLimit;
 
     /**
-     * Makes the quota of a customer that has come up.
+     * Creates the quota of a customer that has become active.
      *
-     * @param name of customer and plan together, which all gateways use
+     * @param name identifies customer and plan together, identically on all gateways
      * @param gatewayCount how many gateways share the customer
-     * @param position which of them this gateway is
+     * @param position the index of this gateway among these gateways
      */
     public CustomerQuota(
             String name, QuotaPlan plan, int gatewayCount, int position, QuotaContext context, QuotaDemand demand) {
@@ -45,119 +48,125 @@
         this.demand = demand;
         double now = context.now();
         boolean sharedCounter = context.settings().capabilities().sharedCounter();
-        holder = QuotaHolder.of(name, plan, gatewayCount, position, sharedCounter);
-        counter = new CustomerCounter(this, holder.key(), context.calls());
+        scope = QuotaScope.of(name, plan, gatewayCount, position, sharedCounter);
+        counter = new CustomerCounter(this, scope.key(), context.calls());
         balance = new CreditBalance(
-                holder.local(), holder.local() ? Math.floor(plan.burst() / holder.gatewayCount()) : 0, now);
-        share = new ShareCalculator(holder, now);
-        estimate = new StoreEstimate(holder, share, now);
-        grants = new GrantEstimator(plan, context.limiter(), context.traffic(), context.usualGrant());
-        lease = new QuotaLease(holder, context, demand, counter, balance, estimate, share, grants);
-        openRequests =
-                plan.concurrencyLimit() > 0 ? new ConcurrencyQuota(holder, context, demand, counter, grants) : null;
-        hardLimit = HardLimit.of(holder, now);
+                scope.local(), scope.local() ? Math.floor(plan.burst() / scope.gatewayCount()) : 0, now);
+        share = new ShareCalculator(scope, now);
+        estimate = new BucketLevelEstimate(scope, share, now);
+        grants = new GrantEstimator(plan, context.limiter(), context.traffic(), context.averageGrantRatio());
+        lease = new QuotaLease(scope, context, demand, counter, balance, estimate, share, grants);
+        concurrencyQuota =
+                plan.concurrencyLimit() > 0 ? new ConcurrencyQuota(scope, context, demand, counter, grants) : null;
+        hardLimit = HardLimit.of(scope, now);
     }
 
     // ---- admission ----
 
-    /** A request has come that asks for so many units. */
+    /** Records the units of an arriving request for the estimate of demand. */
     public void onRequest(int units) {
-        usualDemand.onRequest(units);
+        demandEstimator.onRequest(units);
     }
 
-    /** Whether the request may be sent now; if not, what it lacks is asked for where that is possible. */
-    public boolean admits(QuotaRequest request) {
+    /** Returns whether the request may be sent now; if not, claims what it lacks where a counter call is possible. */
+    public boolean tryAdmit(QuotaRequest request) {
         accrue();
-        if (holder.plan().rate() > 0 && balance.credits() < request.units()) {
+        if (scope.plan().rate() > 0 && balance.credits() < request.units()) {
             if (counter.isExchangeOpen()) {
-                return false; // what is missing is being asked for
+                return false; // the reply may bring the missing units
             }
             claimFor(request);
-            if (!admitsUnasked(request)) {
+            if (!mayAdmitWithoutCounter(request)) {
                 return false;
             }
         }
         return hardLimit.allows(request.units(), context.now())
-                && (openRequests == null || openRequests.allowsAnother());
+                && (concurrencyQuota == null || concurrencyQuota.allowsAnother());
     }
 
-    /** Claims what all waiting requests lack, unless the last reading leaves nothing in time. */
+    /**
+     * Claims the units that all waiting requests lack. Makes no claim while the last reading shows that too few units
+     * for this request will be available before its latest start, until this reading is due to be repeated.
+     */
     private void claimFor(QuotaRequest request) {
         double now = context.now();
-        double lacking = Math.ceil(demand.queuedUnits() - balance.credits() - balance.scheduledUnits() - ROUNDING);
-        double known = estimate.unboundedAfter(now - estimate.updatedAt() + request.latestStart() - now);
-        if (lacking > 0 && (known >= request.units() || lease.isRereadDue())) {
-            claim(lacking);
+        double missingUnits = Math.ceil(demand.queuedUnits() - balance.credits() - balance.scheduledUnits() - ROUNDING);
+        double availableInTime = estimate.uncappedLevelAfter(now - estimate.updatedAt() + request.latestStart() - now);
+        if (missingUnits > 0 && (availableInTime >= request.units() || lease.isRereadDue())) {
+            claim(missingUnits);
         }
     }
 
     private void claim(double units) {
-        if (!holder.local()) {
+        if (!scope.local()) {
             lease.claim(units);
         }
     }
 
     /**
-     * Whether the request may pass without the counter being asked, as no call is to be had: by what was last read, or
-     * after half of its wait by what is usual.
+     * Returns whether the request may be admitted without a counter call, as none can be made now: based on a recent
+     * reading, or, once half of the request's maximum wait is over, on the results of past claims.
      */
-    private boolean admitsUnasked(QuotaRequest request) {
-        if (holder.local()
+    private boolean mayAdmitWithoutCounter(QuotaRequest request) {
+        if (scope.local()
                 || counter.isExchangeOpen()
                 || counter.mayCall()
                 || hardLimit.exists()
                 || request.isClientRetry()
-                || !grants.paysToAdmitUnasked()) {
+                || !grants.isWorthAdmittingWithoutCounter()) {
             return false;
         }
         double now = context.now();
-        double needed = Math.max(request.units(), holder.plan().burst() * UNASKED_PART_OF_BURST);
-        boolean readLately = lease.hasReadAny() && now < estimate.updatedAt() + READING_RELEVANT_MS;
-        return estimate.spendableUnasked(now) >= needed
-                && (readLately || 2 * now >= request.arrivedAt() + request.latestStart());
+        double needed = Math.max(request.units(), scope.plan().burst() * MIN_BURST_FRACTION_WITHOUT_COUNTER);
+        boolean hasRecentReading = lease.hasReadAny() && now < estimate.updatedAt() + READING_VALIDITY_MS;
+        return estimate.spendableWithoutCounter(now) >= needed
+                && (hasRecentReading || 2 * now >= request.arrivedAt() + request.latestStart());
     }
 
-    /** A request was admitted: takes its units. */
+    /** Spends the units of a request that was admitted. */
     public void spend(int units) {
-        double toReport = balance.spend(holder.plan().rate() > 0 ? units : 0);
+        double toReport = balance.spend(scope.plan().rate() > 0 ? units : 0);
         hardLimit.spend(units);
         if (toReport > 0) {
-            lease.owe(toReport);
+            lease.adjustWithNextClaim(toReport);
             estimate.onUnreportedSpending(toReport, context.now());
         }
     }
 
-    /** A request has used so many units more than it was admitted with, or, below 0, fewer. */
+    /** Records that a request has used this many units more than it was admitted with, or, if negative, fewer. */
     public void correctSpending(int units) {
-        lease.owe(units);
+        lease.adjustWithNextClaim(units);
     }
 
-    /** Whether so much is left that a request which is hardly of use takes nothing from others. */
-    public boolean hasPlenty() {
-        double burst = holder.plan().burst();
-        return holder.local()
-                ? balance.credits() >= burst / holder.gatewayCount() * PLENTY_PART_OF_BURST
-                : estimate.atMost(context.now()) >= burst * PLENTY_PART_OF_BURST;
+    /** Returns whether enough units are left that a request of little use takes none from other requests. */
+    public boolean hasAmpleQuota() {
+        double burst = scope.plan().burst();
+        return scope.local()
+                ? balance.credits() >= burst / scope.gatewayCount() * AMPLE_BURST_FRACTION
+                : estimate.upperBound(context.now()) >= burst * AMPLE_BURST_FRACTION;
     }
 
-    /** Returns slots of open requests that no request holds or waits for. */
+    /** Returns open-request slots to the counter that no request holds or waits for. */
     public void returnUnusedSlots() {
-        if (openRequests != null) {
-            openRequests.returnUnusedSlots();
+        if (concurrencyQuota != null) {
+            concurrencyQuota.returnUnusedSlots();
         }
     }
 
-    /** Collects leased units that have fallen due and, where the counter is not asked, the share of the rate. */
+    /**
+     * Collects leased units that have fallen due and, where the counter is not called, this gateway's share of the
+     * rate.
+     */
     private void accrue() {
         double now = context.now();
         balance.collectDue(now);
-        if (balance.isLocal() || context.calls().isSilent()) {
+        if (balance.isLocal() || context.calls().isSuspended()) {
             double from = Math.max(
-                    balance.accruedAt(), holder.local() ? 0 : context.calls().silentSince());
+                    balance.accruedAt(), scope.local() ? 0 : context.calls().suspendedSince());
             double maxCredits =
-                    Math.max(context.settings().maxUnits(), holder.plan().burst() * share.share());
-            share.driftToEven(now - from);
-            double units = holder.plan().rate() * share.share() * (now - from) / 1000;
+                    Math.max(context.settings().maxUnits(), scope.plan().burst() * share.share());
+            share.convergeToEvenShare(now - from);
+            double units = scope.plan().rate() * share.share() * (now - from) / 1000;
             balance.accrue(units, maxCredits);
         }
         balance.setAccruedAt(now);
@@ -166,47 +175,50 @@
     // ---- the re-split ----
 
     /**
-     * A period ends: returns surplus units where a call may be made.
+     * Ends a re-split period: returns surplus units to the counter if a call may be made.
      *
-     * @return whether units are short instead, and should be claimed ahead of the requests to come
+     * @return whether units are short instead and should be claimed ahead of the expected requests
      */
     boolean resplit() {
-        usualDemand.endPeriod();
+        demandEstimator.endPeriod();
         accrue();
         double shortage = shortage();
         if (shortage <= -1
                 && !counter.isExchangeOpen()
                 && counter.mayCall()
-                && !holder.local()
-                && holder.plan().rate() > 0) {
-            lease.giveBack(-shortage);
+                && !scope.local()
+                && scope.plan().rate() > 0) {
+            lease.returnSurplus(-shortage);
         }
         return shortage >= 1;
     }
 
-    /** Units that wait or usually come in a period, and are not covered. */
+    /**
+     * Returns the units of waiting requests and of a period's usual demand that are not covered; negative if in
+     * surplus.
+     */
     private double shortage() {
-        return Math.floor(usualDemand.unitsPerPeriod())
+        return Math.floor(demandEstimator.unitsPerPeriod())
                 + demand.queuedUnits()
                 - balance.credits()
                 - balance.scheduledUnits();
     }
 
-    /** Claims units ahead of the requests to come, where most of what is claimed is granted. */
+    /** Claims units ahead of the expected requests, provided that most of what is claimed is granted. */
     void claimAhead() {
         accrue();
         double shortage = shortage();
-        if (shortage >= 1 && usualDemand.unitsPerPeriod() >= 1 && grants.isMostlyGranted()) {
+        if (shortage >= 1 && demandEstimator.unitsPerPeriod() >= 1 && grants.isMostlyGranted()) {
             claim(shortage);
         }
     }
 
-    /** Whether nothing waits, is open or is expected. */
+    /** Returns whether no request waits, is open or is expected, and no counter exchange is open. */
     boolean isIdle() {
-        return usualDemand.isIdle()
+        return demandEstimator.isIdle()
                 && demand.isEmpty()
                 && demand.attemptsInFlight() == 0
                 && !counter.isExchangeOpen()
-                && (openRequests == null || openRequests.holdsNoSlot());
+                && (concurrencyQuota == null || concurrencyQuota.holdsNoSlot());
     }
 }
--- a/src/main/java/quotagateway/policy/quota/DemandEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/DemandEstimator.java
@@ -2,10 +2,10 @@
 
 import static quotagateway.policy.statistics.Ewma.FAST_EWMA_WEIGHT;
 
-/** How many units one customer usually asks for in a re-split period. */
+/** Estimates how many units one customer usually requests in a re-split period. */
 final class DemandEstimator {
-    /** Below this a customer counts as idle: about one unit in ten periods. */
-    private static final double IDLE_UNITS = 0.1;
+    /** A customer below this demand counts as idle: about one unit in ten periods. */
+    private static final double IDLE_UNITS_PER_PERIOD = 0.1;
 
     private double unitsPerPeriod;
     private double unitsInPeriod;
@@ -25,6 +25,6 @@
     }
 
     boolean isIdle() {
-        return unitsPerPeriod < IDLE_UNITS;
+        return unitsPerPeriod < IDLE_UNITS_PER_PERIOD;
     }
 }
--- a/src/main/java/quotagateway/policy/quota/DriftDetector.java
+++ b/src/main/java/quotagateway/policy/quota/DriftDetector.java
@@ -3,109 +3,118 @@
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
- * Compares what a total on the counter shows as left of a quota with what can be left. They drift apart: idle time
- * fills the total's allowance beyond the burst, a name is new or was lost by the counter, and calls that were taken
- * as not added were added, or the other way round. A large drift is corrected on the counter, by one gateway for all.
+ * Detects drift: the difference between the level that a total on the counter shows and the level that is possible.
+ * Drift occurs when idle time accrues more than the burst for the total, when a total is new or was lost by the
+ * counter, and when calls that were assumed not to be added were added, or vice versa. A large drift is corrected on
+ * the counter by one gateway on behalf of all.
  */
 final class DriftDetector {
-    /** Drift up to this part of the burst is left alone. */
-    private static final double TOLERATED_PART_OF_BURST = 1.0 / 8;
-    /** Missing units are given so long to come back: a claim that is cut is returned at once. */
+    /** Drift up to this fraction of the burst is not corrected. */
+    private static final double TOLERATED_BURST_FRACTION = 1.0 / 8;
+    /** How long missing units may take to come back: a gateway immediately returns what it does not keep of a claim. */
     private static final double LOSS_CONFIRMED_AFTER_MS = ResplitSchedule.PERIOD_MS;
-    /** Totals that fell by more than this part of the burst were lost. */
-    private static final double LOST_PART_OF_BURST = 1.0 / 2;
-    /** Sums of units on the counter differ by less than this where they are equal. */
+    /** A total that fell by more than this fraction of the burst to less than it was lost by the counter. */
+    private static final double LOST_BURST_FRACTION = 1.0 / 2;
+    /** Tolerance for rounding errors when sums of units on the counter are compared. */
     private static final double ROUNDING = 1e-6;
 
     /**
-     * What a reading shows too much, or, below 0, too little.
+     * The drift of a reading.
      *
-     * @param significant whether it is more than is tolerated
-     * @param toBeCorrected whether this gateway has to correct it on the counter now
+     * @param units what the reading shows in excess, or, if negative, too little
+     * @param significant whether the drift exceeds the tolerance
+     * @param toBeCorrected whether this gateway has to correct the drift on the counter now
      */
     record Drift(double units, boolean significant, boolean toBeCorrected) {
-        /** Whether units are missing that may be on their way back, so that the counter is to be read again first. */
+        /**
+         * Returns whether units are missing that may be about to be returned, so that the counter must be read again.
+         */
         boolean isUnconfirmedLoss() {
             return units < 0 && significant && !toBeCorrected;
         }
 
-        /** What the reading shows, without the drift; a tolerated lack is taken as it is. */
+        /** Returns the reading without the drift; a shortage within the tolerance is kept. */
         double removeFrom(double reading) {
             return reading - (significant ? units : Math.max(0, units));
         }
     }
 
-    private final QuotaHolder holder;
+    private final QuotaScope scope;
     private final QuotaContext context;
     private boolean totalSuspect;
-    /** Whether the total last read held nothing of others: this gateway was the first to add to its name. */
-    private boolean firstOnName;
+    /** Whether the total last read contained no units of others: this gateway was the first to add to its name. */
+    private boolean firstToAdd;
 
-    private double driftingSince = Double.MAX_VALUE;
+    private double driftedSince = Double.MAX_VALUE;
     private long lastEpoch = Long.MIN_VALUE;
     private double lastTotal;
 
-    DriftDetector(QuotaHolder holder, QuotaContext context) {
-        this.holder = holder;
+    DriftDetector(QuotaScope scope, QuotaContext context) {
+        this.scope = scope;
         this.context = context;
     }
 
     /**
-     * A total was read. It is suspect when its name is new here, or it has fallen: it says nothing then of what others
-     * have taken. Otherwise a low reading may be a claim that its gateway is about to cut.
+     * Records that a total was read. The total is suspect if its name is new to this gateway or if it has fallen: it
+     * then does not show what other gateways have taken. Otherwise a low reading may be due to a claim of which another
+     * gateway is about to return a part.
      *
-     * @param othersTotal the total without what this call has added
+     * @param othersTotal the total without the units that this call has added
      */
-    void noteTotal(long epoch, double othersTotal) {
-        double burst = holder.plan().burst();
-        boolean lost = othersTotal < burst * LOST_PART_OF_BURST && othersTotal < lastTotal - burst * LOST_PART_OF_BURST;
+    void onTotalRead(long epoch, double othersTotal) {
+        double burst = scope.plan().burst();
+        boolean lost =
+                othersTotal < burst * LOST_BURST_FRACTION && othersTotal < lastTotal - burst * LOST_BURST_FRACTION;
         totalSuspect |= epoch != lastEpoch || lost;
-        firstOnName = Math.abs(othersTotal) < ROUNDING;
+        firstToAdd = Math.abs(othersTotal) < ROUNDING;
     }
 
-    /** Whether the total last read says nothing of what others have taken. */
+    /** Returns whether the total last read does not show what other gateways have taken. */
     boolean isTotalSuspect() {
         return totalSuspect;
     }
 
-    /** How far a reading is from what can be left, which is between the lowest level and {@code maximum}. */
+    /**
+     * Returns how far a reading is from the possible levels, which are between the lowest level and {@code maximum}.
+     */
     Drift assess(double reading, double maximum, double now) {
         double units = reading - Math.max(lowestLevel(), Math.min(reading, maximum));
-        boolean significant = Math.abs(units) > holder.plan().burst() * TOLERATED_PART_OF_BURST;
-        double delay = units < 0 ? LOSS_CONFIRMED_AFTER_MS : totalSuspect ? turnDelayMs() : 0;
-        driftingSince = significant ? Math.min(driftingSince, now) : Double.MAX_VALUE;
+        boolean significant = Math.abs(units) > scope.plan().burst() * TOLERATED_BURST_FRACTION;
+        double delay = units < 0 ? LOSS_CONFIRMED_AFTER_MS : totalSuspect ? correctionDelayMs() : 0;
+        driftedSince = significant ? Math.min(driftedSince, now) : Double.MAX_VALUE;
         totalSuspect &= significant;
-        boolean toBeCorrected = significant && now >= driftingSince + delay;
+        boolean toBeCorrected = significant && now >= driftedSince + delay;
         if (toBeCorrected) {
-            driftingSince = Double.MAX_VALUE;
+            driftedSince = Double.MAX_VALUE;
         }
         return new Drift(units, significant, toBeCorrected);
     }
 
     /**
-     * Where all find the same total suspect, one corrects it first, and the others see that. It is the one whose claim
-     * came first to the name: the counter tells it so. Were it left to the gateways in turn, all would be granted what
-     * the name shows too much until one had waited and claimed again, and the first in turn may have no requests. They
-     * correct it in turn where the first one's correction was lost.
+     * Returns how long this gateway waits before it corrects an excess of a suspect total. If all gateways find the
+     * same total suspect, one of them corrects it first, and the others see the correction. This is the gateway whose
+     * claim was the first under the name, as it sees from the counter's reply. If the gateways only took turns by
+     * position, all would be granted the excess until one had waited for its turn and claimed again, and those at the
+     * first positions may have no requests. The gateways take turns in case the correction of the first one was lost.
      */
-    private double turnDelayMs() {
-        return firstOnName
+    private double correctionDelayMs() {
+        return firstToAdd
                 ? 0
-                : holder.position() * context.settings().capabilities().counterTimeout();
+                : scope.position() * context.settings().capabilities().counterTimeout();
     }
 
-    /** What the total will be once this gateway's returns and corrections are added. */
+    /** Sets what the total will be once this gateway's returns and corrections are added. */
     void setLastTotal(long epoch, double total) {
         lastEpoch = epoch;
         lastTotal = total;
     }
 
-    /** Whether the last total was read under the name of this epoch. */
+    /** Returns whether the last total was read under the name of this epoch. */
     boolean wasLastReadIn(long epoch) {
         return lastEpoch == epoch;
     }
 
-    /** Whether any total was read. */
+    /** Returns whether any total was read. */
     boolean hasReadAny() {
         return lastEpoch != Long.MIN_VALUE;
     }
@@ -114,8 +123,8 @@
         return lastTotal;
     }
 
-    /** How far below 0 the level can be, by units that were claimed before they were there. */
+    /** Returns the lowest possible level, which is below 0 as units may be claimed before they have accrued. */
     double lowestLevel() {
-        return -holder.unitsPerMs() * context.objectives().longestMs();
+        return -scope.unitsPerMs() * context.objectives().longestMs();
     }
 }
--- a/src/main/java/quotagateway/policy/quota/FifoMultimap.java
+++ b/src/main/java/quotagateway/policy/quota/FifoMultimap.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Values of a key in the order in which they came; a key with none is forgotten. */
+/** Maps each key to a FIFO queue of values; a key without values is removed. */
 final class FifoMultimap<K, V> {
     private final Map<K, ArrayDeque<V>> queues = new HashMap<>();
 
@@ -12,7 +12,7 @@
         queues.computeIfAbsent(key, k -> new ArrayDeque<>()).add(value);
     }
 
-    /** Takes the oldest value of this key, or null. */
+    /** Removes and returns the oldest value of this key, or returns null if there is none. */
     V poll(K key) {
         ArrayDeque<V> queue = queues.get(key);
         if (queue == null) {
--- a/src/main/java/quotagateway/policy/quota/GrantEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/GrantEstimator.java
@@ -5,58 +5,60 @@
 import quotagateway.policy.traffic.SendRateLimiter;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** How much of what one customer asks for is inside its quota, by the counter's last replies. */
+/** Estimates which part of what one customer requests is within its quota, by the counter's last replies. */
 final class GrantEstimator {
-    /** There are few replies, and the last one says most. */
+    /** Weight of the last reply: there are few replies, and the last one is the most informative. */
     private static final double WEIGHT = 1.0 / 2;
-    /** Keeps the break-even defined on a plan where a request beyond the quota costs nothing and earns all. */
+    /**
+     * Keeps the break-even defined on a plan where a request beyond the quota costs nothing and earns its full worth.
+     */
     private static final double MAX_EXCESS_WEIGHT = 0.99;
 
     private final QuotaPlan plan;
     private final SendRateLimiter limiter;
     private final TrafficMeter traffic;
-    private final Ewma usualGrant;
-    private double grant;
+    private final Ewma averageGrantRatio;
+    private double grantRatio;
 
-    /** @param usualGrant that of all customers, where this one begins */
-    GrantEstimator(QuotaPlan plan, SendRateLimiter limiter, TrafficMeter traffic, Ewma usualGrant) {
+    /** @param averageGrantRatio the average of all customers, which is the initial value of this one */
+    GrantEstimator(QuotaPlan plan, SendRateLimiter limiter, TrafficMeter traffic, Ewma averageGrantRatio) {
         this.plan = plan;
         this.limiter = limiter;
         this.traffic = traffic;
-        this.usualGrant = usualGrant;
-        grant = usualGrant.value();
+        this.averageGrantRatio = averageGrantRatio;
+        grantRatio = averageGrantRatio.value();
     }
 
-    /** This part of a claim was granted, from 0 to 1. */
-    void recordClaim(double granted) {
+    /** Records which part of a claim was granted, from 0 to 1. */
+    void recordClaimReply(double granted) {
         record(granted);
-        usualGrant.add(granted);
+        averageGrantRatio.add(granted);
     }
 
-    /** A try for a slot has succeeded or not. */
-    void recordSlot(boolean granted) {
+    /** Records whether a requested slot was granted. */
+    void recordSlotReply(boolean granted) {
         record(granted ? 1 : 0);
     }
 
     private void record(double granted) {
-        grant += (granted - grant) * WEIGHT;
+        grantRatio += (granted - grantRatio) * WEIGHT;
     }
 
-    /** Whether more than half of what is claimed is granted. */
+    /** Returns whether more than half of what is claimed is granted. */
     boolean isMostlyGranted() {
-        return grant > 0.5;
+        return grantRatio > 0.5;
     }
 
     /**
-     * Whether to admit a request without asking earns more than it costs: by the plan's prices of a request beyond the
-     * quota, and where endpoints are not pressed. Inside the quota it earns only what a rejection would lose for good:
-     * where clients come again, most of them are served later.
+     * Returns whether admitting a request without a counter call earns more than it costs, by the plan's prices of a
+     * request beyond the quota, provided that endpoints are not overloaded. A request within the quota earns only what
+     * a rejection would lose for good: where rejected clients retry, most of them are served later.
      */
-    boolean paysToAdmitUnasked() {
+    boolean isWorthAdmittingWithoutCounter() {
         double cost = plan.excessCost();
         double lostByRejection = 1 - traffic.sentLaterShare();
         double gain = lostByRejection * (1 - Math.min(plan.excessWeight(), MAX_EXCESS_WEIGHT));
         double breakEven = cost / (cost + gain);
-        return limiter.isAboveDemand() && grant > breakEven;
+        return limiter.isAboveDemand() && grantRatio > breakEven;
     }
 }
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -3,8 +3,8 @@
 import quotagateway.policy.api.QuotaPlan;
 
 /**
- * The hard limit (ceiling) of a plan, which is never exceeded, whatever the counter says: each gateway holds its even
- * part of it as a token bucket of its own, rounded down and empty at the start.
+ * The hard limit (ceiling) of a plan, which is never exceeded, whatever the counter reports. Each gateway enforces its
+ * even share of the limit with its own token bucket, whose burst is rounded down and which is empty at the start.
  */
 final class HardLimit {
     private static final HardLimit NONE = new HardLimit(0, 0, null);
@@ -20,22 +20,22 @@
         this.bucket = bucket;
     }
 
-    /** This gateway's part of the plan's hard limit, if it has one. */
-    static HardLimit of(QuotaHolder holder, double now) {
-        QuotaPlan plan = holder.plan();
+    /** Returns this gateway's share of the plan's hard limit, or a limit that allows everything if there is none. */
+    static HardLimit of(QuotaScope scope, double now) {
+        QuotaPlan plan = scope.plan();
         if (plan.hardLimitRate() <= 0) {
             return NONE;
         }
-        double burst = Math.floor(plan.hardLimitBurst() / holder.gatewayCount());
-        return new HardLimit(plan.hardLimitRate(), holder.gatewayCount(), new TokenBucket(burst, 0, now));
+        double burst = Math.floor(plan.hardLimitBurst() / scope.gatewayCount());
+        return new HardLimit(plan.hardLimitRate(), scope.gatewayCount(), new TokenBucket(burst, 0, now));
     }
 
-    /** Whether the plan has a hard limit. */
+    /** Returns whether the plan has a hard limit. */
     boolean exists() {
         return bucket != null;
     }
 
-    /** Whether so many units may be spent now. */
+    /** Returns whether this many units may be spent now. */
     boolean allows(double units, double now) {
         if (bucket == null) {
             return true;
@@ -44,7 +44,7 @@
         return bucket.level() >= units;
     }
 
-    /** Takes units off. */
+    /** Deducts spent units. */
     void spend(double units) {
         if (bucket != null) {
             bucket.take(units);
--- a/src/main/java/quotagateway/policy/quota/QuotaContext.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaContext.java
@@ -10,9 +10,9 @@
 import quotagateway.policy.traffic.TrafficMeter;
 
 /**
- * What the quotas of all customers share.
+ * The settings and services that the quotas of all customers share.
  *
- * @param usualGrant the part of what any customer claims that is granted: where a new customer's own begins
+ * @param averageGrantRatio the granted part of the claims of all customers: the initial value of a new customer's own
  */
 public record QuotaContext(
         PolicySettings settings,
@@ -23,9 +23,9 @@
         SendRateLimiter limiter,
         TrafficMeter traffic,
         CounterCalls calls,
-        Ewma usualGrant) {
-    /** Until seen, all that is claimed is taken to be granted. */
-    public static Ewma newUsualGrant() {
+        Ewma averageGrantRatio) {
+    /** Returns an average that starts at 1: until the first reply, claims are assumed to be granted in full. */
+    public static Ewma newAverageGrantRatio() {
         return new Ewma(Ewma.SLOW_EWMA_WEIGHT, 1);
     }
 
--- a/src/main/java/quotagateway/policy/quota/QuotaDemand.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaDemand.java
@@ -1,19 +1,19 @@
 package quotagateway.policy.quota;
 
-/** What a customer's queue tells its quota: all that the quota knows of requests that wait or are being served. */
+/** What a quota knows of its customer's requests that wait or are being served; implemented by the queue. */
 public interface QuotaDemand {
-    /** Whether no request waits. */
+    /** Returns whether no request waits. */
     boolean isEmpty();
 
-    /** Units of all requests that wait. */
+    /** Returns the units of all requests that wait. */
     double queuedUnits();
 
-    /** Units of the request that is next; there has to be one. */
+    /** Returns the units of the next request; at least one request must be waiting. */
     int firstUnits();
 
-    /** When the request that can wait longest has to be sent at the latest; there has to be one. */
-    double lastLatestStart();
+    /** Returns the latest start of the request that can wait longest; at least one request must be waiting. */
+    double maxLatestStart();
 
-    /** Attempts of this customer's requests in flight. */
+    /** Returns how many attempts of this customer's requests are in flight. */
     int attemptsInFlight();
 }
--- a/src/main/java/quotagateway/policy/quota/QuotaRequest.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaRequest.java
@@ -1,16 +1,18 @@
 package quotagateway.policy.quota;
 
-/** What a quota has to know of a request to let it pass. */
+/** What a quota has to know of a request to decide on its admission. */
 public interface QuotaRequest {
-    /** Units of quota that it takes. */
+    /** Returns the units of quota that the request takes. */
     int units();
 
-    /** When it came. */
+    /** Returns when the request arrived. */
     double arrivedAt();
 
-    /** When it has to be sent at the latest to be of use; moves with the latency of its class. */
+    /**
+     * Returns when the request has to be sent at the latest to be of use; this changes with the latency of its class.
+     */
     double latestStart();
 
-    /** Whether its client has asked before. */
+    /** Returns whether the client has sent this request before. */
     boolean isClientRetry();
 }
--- a/src/main/java/quotagateway/policy/quota/QuotaResplit.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaResplit.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 
 /**
- * The design page's re-split, four times a second, for the customers that hold requests or had some lately: returns
- * what is not used, and claims ahead what is usual, as far as calls to the counter are to be had. Requests that wait
- * have claimed before.
+ * Re-splits the quotas of active customers among the gateways four times a second: returns units that are not used, and
+ * claims the usual demand ahead as far as counter calls may be made. A customer is active while it has requests or had
+ * some recently. Waiting requests have already claimed their units.
  */
 public final class QuotaResplit {
     private final CounterCalls calls;
     private final Set<CustomerQuota> active = new LinkedHashSet<>();
-    private final ArrayDeque<CustomerQuota> waitingForCall = new ArrayDeque<>();
+    private final ArrayDeque<CustomerQuota> waitingForClaim = new ArrayDeque<>();
 
     public QuotaResplit(CounterCalls calls) {
         this.calls = calls;
     }
 
-    /** A request of this customer waits: it takes part from now on, until it is idle. */
+    /** Includes a customer whose request waits in the re-split until the customer is idle. */
     public void activate(CustomerQuota quota) {
         active.add(quota);
     }
@@ -30,11 +30,11 @@
 
     /** Called at the end of every period. */
     public void resplit() {
-        waitingForCall.clear();
+        waitingForClaim.clear();
         for (Iterator<CustomerQuota> it = active.iterator(); it.hasNext(); ) {
             CustomerQuota quota = it.next();
             if (quota.resplit()) {
-                waitingForCall.add(quota);
+                waitingForClaim.add(quota);
             }
             if (quota.isIdle()) {
                 it.remove();
@@ -43,10 +43,10 @@
         claimAhead();
     }
 
-    /** Claims for those that are short, in turn, while calls may be made. */
+    /** Claims units for the customers that are short, in turn, while calls may be made. */
     public void claimAhead() {
-        while (!waitingForCall.isEmpty() && calls.mayCall()) {
-            waitingForCall.poll().claimAhead();
+        while (!waitingForClaim.isEmpty() && calls.mayCall()) {
+            waitingForClaim.poll().claimAhead();
         }
     }
 }
--- a/src/main/java/quotagateway/policy/quota/ShareCalculator.java
+++ b/src/main/java/quotagateway/policy/quota/ShareCalculator.java
@@ -5,67 +5,69 @@
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
- * This gateway's part of a customer's quota, by what it and all gateways took of it lately. It is used where the
- * counter cannot be asked: it says how much of the rate may be given out here in the meantime.
+ * Calculates this gateway's share of a customer's quota from the units that this gateway and all gateways took
+ * recently. While the counter cannot be called, the share determines how much of the rate this gateway may give out.
  */
 final class ShareCalculator {
-    /** Of what was taken half counts no more after this time. */
-    private static final double USE_HALF_LIFE_MS = 4000;
+    /** Units that were taken count half after this time. */
+    private static final double USAGE_HALF_LIFE_MS = 4000;
     /**
-     * So much of a burst, taken evenly by all gateways, is added to what was seen: it is all that is known at first.
+     * This fraction of the burst is added to the observed units as if all gateways had taken it evenly: initially
+     * nothing else is known.
      */
-    private static final double EVEN_PART_OF_BURST = 1.0 / 8;
+    private static final double EVEN_BURST_FRACTION = 1.0 / 8;
 
-    private final QuotaHolder holder;
-    /** Units that this gateway has taken, old ones counting less and less. */
+    private final QuotaScope scope;
+    /** Units that this gateway has taken, with exponential decay. */
     private double ownUnits;
-    /** Units that all gateways have taken, likewise. */
+    /** Units that all gateways have taken, with exponential decay. */
     private double allUnits;
-    /** When these were last counted. */
-    private double countedAt;
+    /** When the units taken were last updated. */
+    private double updatedAt;
 
     private double share;
 
-    ShareCalculator(QuotaHolder holder, double now) {
-        this.holder = holder;
-        countedAt = now;
+    ShareCalculator(QuotaScope scope, double now) {
+        this.scope = scope;
+        updatedAt = now;
         share = evenShare();
     }
 
-    /** From 0 to 1. */
+    /** Returns this gateway's share, from 0 to 1. */
     double share() {
         return share;
     }
 
-    /** What the other gateways took for each millisecond, by the readings so far. */
+    /** Returns how many units per millisecond the other gateways took, by the readings so far. */
     double othersUnitsPerMs() {
-        return (allUnits - ownUnits) * Math.log(2) / USE_HALF_LIFE_MS;
+        return (allUnits - ownUnits) * Math.log(2) / USAGE_HALF_LIFE_MS;
     }
 
     /**
-     * A reading of the counter.
+     * Records a reading of the counter.
      *
      * @param own units that this gateway has taken since the last reading
-     * @param all units that all have; more than there can have been is a total that another gateway has corrected
-     * @param lastReadAt when that reading was
+     * @param all units that all gateways have taken since then; capped at what was possible, as a larger value means
+     *     that another gateway has corrected the total
+     * @param lastReadAt when the last reading was taken
      */
     void record(double own, double all, double lastReadAt, double now) {
-        double burst = holder.plan().burst();
-        double maximum = own + burst + holder.unitsPerMs() * (now - lastReadAt);
-        double kept = Math.pow(0.5, (now - countedAt) / USE_HALF_LIFE_MS);
-        ownUnits = ownUnits * kept + own;
-        allUnits = allUnits * kept + Math.max(own, Math.min(all, maximum));
-        countedAt = now;
-        double even = burst * EVEN_PART_OF_BURST;
-        share = (ownUnits + even / holder.gatewayCount()) / (allUnits + even);
+        double burst = scope.plan().burst();
+        double maximum = own + burst + scope.unitsPerMs() * (now - lastReadAt);
+        double decay = Math.pow(0.5, (now - updatedAt) / USAGE_HALF_LIFE_MS);
+        ownUnits = ownUnits * decay + own;
+        allUnits = allUnits * decay + Math.max(own, Math.min(all, maximum));
+        updatedAt = now;
+        double even = burst * EVEN_BURST_FRACTION;
+        share = (ownUnits + even / scope.gatewayCount()) / (allUnits + even);
     }
 
-    /** While nothing is read the share moves to the even one: requests may come to other gateways than before. */
-    void driftToEven(double elapsedMs) {
+    /** Moves the share towards the even share while nothing is read, as requests may move to other gateways. */
+    void convergeToEvenShare(double elapsedMs) {
         share += (evenShare() - share) * FAST_EWMA_WEIGHT * Math.min(1, elapsedMs / ResplitSchedule.PERIOD_MS);
     }
 
     private double evenShare() {
-        return 1.0 / holder.gatewayCount();
+        return 1.0 / scope.gatewayCount();
     }
 }
--- a/src/main/java/quotagateway/policy/quota/TokenBucket.java
+++ b/src/main/java/quotagateway/policy/quota/TokenBucket.java
@@ -1,6 +1,6 @@
 package quotagateway.policy.quota;
 
-/** A level that is refilled up to a burst, and remembers when. */
+/** A token bucket: a level that is refilled up to a burst, and the time of the last refill. */
 final class TokenBucket {
     private final double burst;
     private double level;
@@ -12,17 +12,17 @@
         updatedAt = now;
     }
 
-    /** The level as of the last refill, less what was taken since. */
+    /** Returns the level as of the last refill, less the units taken since. */
     double level() {
         return level;
     }
 
-    /** When it was refilled last. */
+    /** Returns the time of the last refill. */
     double updatedAt() {
         return updatedAt;
     }
 
-    /** Adds what has come since the last refill, up to the burst. */
+    /** Adds the units that have accrued since the last refill, up to the burst. */
     void refill(double units, double now) {
         level = Math.min(burst, level + units);
         updatedAt = now;
--- a/src/test/java/quotagateway/policy/CounterCallPacingTest.java
+++ b/src/test/java/quotagateway/policy/CounterCallPacingTest.java
@@ -9,11 +9,13 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.QuotaPlan;
 
-/** How many calls to the shared counter a gateway has in flight, and when it calls again. */
+/** Tests how many calls to the shared counter a gateway has in flight, and when it calls again. */
 class CounterCallPacingTest {
     private static final CallOutcome OK = CallOutcome.OK;
 
-    /** A connection to the counter that breaks is no crowding: slowing down for it refused nine in ten. */
+    /**
+     * A broken connection to the counter is no sign of overload: when calls slowed down for it, 9 in 10 were rejected.
+     */
     @Test
     void brokenCounterConnectionsDoNotShrinkTheCallWindow() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
@@ -36,17 +38,19 @@
     }
 
     @Test
-    void counterThatRejectsIsNotFlooded() {
+    void rejectingCounterIsNotFlooded() {
         PolicyHarness gateway = new PolicyHarness();
         QuotaScenarios.sendsPerSecond(gateway, CallOutcome.FULL, 0);
         assertTrue(gateway.countActions("count") < 12 * 4 * 2, "calls: " + gateway.countActions("count"));
     }
 
-    /** Fourteen gateways each called anew while their late calls stood in line: half of all were late. */
+    /**
+     * Fourteen gateways made new calls while their late calls were queued at the counter: half of all calls were late.
+     */
     @Test
-    void callThatTimedOutIsGivenTimeToLeaveTheCountersQueue() {
+    void timedOutCallHasTimeToLeaveTheCounterQueue() {
         PolicyHarness gateway = new PolicyHarness();
-        gateway.gatewayCount = 1000; // one call at a time at first
+        gateway.gatewayCount = 1000; // the initial window is one call
         gateway.start().listEndpoints(2000);
         for (int i = 0; i < 4; i++) {
             gateway.request(i, "read", "rate", "c" + i);
@@ -55,24 +59,26 @@
         assertEquals(1, gateway.countActions("count"));
         gateway.replyToCounterCalls(CallOutcome.TIMEOUT);
         gateway.advanceTo(74);
-        assertEquals(1, gateway.countActions("count"), "nothing new for half of the limit of 50 ms: " + gateway.log);
+        assertEquals(1, gateway.countActions("count"), "no new call for half of the timeout of 50 ms: " + gateway.log);
         gateway.advanceTo(126);
-        assertEquals(2, gateway.countActions("count"), "and the next by itself soon behind: " + gateway.log);
+        assertEquals(2, gateway.countActions("count"), "the next call follows soon without an event: " + gateway.log);
     }
 
-    /** Sixty gateways with one call out each: two in three were late, as the counter had a line of them. */
+    /** Sixty gateways had one call in flight each: two in three calls were late, as they queued at the counter. */
     @Test
-    void callsArePausedWhereOneOfEachGatewayIsTooMany() {
+    void callsArePausedIfOneCallPerGatewayIsTooMany() {
         PolicyHarness gateway = new PolicyHarness();
         gateway.gatewayCount = 1000;
         gateway.start().listEndpoints(2000);
-        assertTrue(callsASecond(gateway, 45) <= 5, "answers close to the limit of 50 ms: a line");
-        assertTrue(callsASecond(gateway, 5) >= 15, "and none: " + gateway.log.size());
+        assertTrue(callsPerSecond(gateway, 45) <= 5, "replies close to the timeout of 50 ms show a queue");
+        assertTrue(callsPerSecond(gateway, 5) >= 15, "quick replies show no queue; log lines: " + gateway.log.size());
     }
 
-    /** A counter that was away for some seconds left a gateway of three with pauses of a second and more. */
+    /**
+     * After an outage of the counter of some seconds, a fleet of three gateways paused for a second and more per call.
+     */
     @Test
-    void smallTierDoesNotPauseCallsAfterASilence() {
+    void smallFleetDoesNotPauseCallsAfterAnOutage() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(100);
         for (int i = 0; i < 300; i++) {
             gateway.advanceTo(i * 20);
@@ -92,11 +98,11 @@
         }
         assertTrue(
                 gateway.countActions("count") - before >= 50,
-                "in a second: " + (gateway.countActions("count") - before));
+                "calls in a second: " + (gateway.countActions("count") - before));
     }
 
-    /** In the last 2 s of 12 s of requests for customers not seen before. */
-    private static double callsASecond(PolicyHarness gateway, double took) {
+    /** Returns the calls per second in the last 2 s of 12 s of requests of new customers. */
+    private static double callsPerSecond(PolicyHarness gateway, double took) {
         double from = gateway.now;
         long before = 0;
         for (double t = from; t < from + 12000; t += took) {
@@ -112,12 +118,12 @@
         return (gateway.countActions("count") - before) / 2.0;
     }
 
-    /** A hundred gateways that read an empty store twice a second left the counter nothing else to do. */
+    /** A hundred gateways that read an empty quota twice a second left the counter no capacity for other calls. */
     @Test
-    void emptyQuotaIsReadAgainLaterWhereManyGatewaysShareIt() {
+    void emptyQuotaIsReadLessOftenIfManyGatewaysShareIt() {
         for (int spread : List.of(2, 100)) {
             PolicyHarness gateway = new PolicyHarness();
-            gateway.gatewayCount = 1000; // one call at a time at first
+            gateway.gatewayCount = 1000; // the initial window is one call
             gateway.plans = List.of(new QuotaPlan("slow", 1, 8, 0, 1, 0, 1, 0, 0, 0));
             gateway.start().listEndpoints(2000);
             gateway.request(1, "read", "slow", "c", 2, spread);
@@ -135,41 +141,41 @@
     }
 
     /**
-     * Calls were bounded in number for each subperiod, and all came at its edge: a counter that takes 9 ms
-     * for one answered most of them past their limit. Now so many are out as it answers in time.
+     * Calls were bounded per re-split period and were all made at its boundary: a counter that takes 9 ms per call
+     * answered most of them after their timeout. The window now allows as many calls as the counter answers in time.
      */
     @Test
     void slowCounterGetsFewCallsAtATime() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(100);
-        int most = 0;
-        double free = 0;
-        java.util.ArrayDeque<Double> done = new java.util.ArrayDeque<>();
-        List<Double> late = new ArrayList<>();
+        int maxInFlight = 0;
+        double counterFreeAt = 0;
+        java.util.ArrayDeque<Double> completionTimes = new java.util.ArrayDeque<>();
+        List<Double> durations = new ArrayList<>();
         for (int t = 0; t < 8000; t++) {
             gateway.advanceTo(t);
             gateway.request(t, "read", "big", "c" + t % 40);
-            while (done.size() < gateway.counterCalls.size()) { // the counter takes 9 ms for each, one behind another
-                free = Math.max(free, t) + 9;
-                done.add(free);
+            while (completionTimes.size() < gateway.counterCalls.size()) { // 9 ms per call, sequentially
+                counterFreeAt = Math.max(counterFreeAt, t) + 9;
+                completionTimes.add(counterFreeAt);
             }
             if (t > 4000) {
-                most = Math.max(most, gateway.counterCalls.size());
+                maxInFlight = Math.max(maxInFlight, gateway.counterCalls.size());
             }
-            while (!done.isEmpty() && done.peek() <= t) {
-                double took = 9 * gateway.counterCalls.size(); // about: those behind it have come since
-                late.add(took);
+            while (!completionTimes.isEmpty() && completionTimes.peek() <= t) {
+                double took = 9 * gateway.counterCalls.size(); // approximate: the calls queued after it came later
+                durations.add(took);
                 PolicyHarness.CounterCall call = gateway.counterCalls.remove(0);
                 gateway.policy.onCounterReply(t, call.name(), took > 50 ? CallOutcome.TIMEOUT : OK, took, call.total());
-                done.poll();
+                completionTimes.poll();
             }
-            for (int k = Math.max(0, t - 500); k <= t; k++) { // what was held meanwhile is answered too
+            for (int k = Math.max(0, t - 500); k <= t; k++) { // also answers requests held in the meantime
                 gateway.endAttempt(k, 0, OK);
             }
         }
-        assertTrue(most <= 8, "out at a time: " + most);
-        assertTrue(late.size() > 700, "and it is kept busy: " + late.size());
+        assertTrue(maxInFlight <= 8, "calls in flight: " + maxInFlight);
+        assertTrue(durations.size() > 700, "the counter is kept busy, replies: " + durations.size());
         assertTrue(
                 gateway.countActions("refuse") < 200,
-                "refused though none is short: " + gateway.countActions("refuse"));
+                "rejected although no quota is short: " + gateway.countActions("refuse"));
     }
 }
--- a/src/test/java/quotagateway/policy/CounterDriftTest.java
+++ b/src/test/java/quotagateway/policy/CounterDriftTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.CallOutcome;
 
-/** Totals on the counter that are new, lost or show what cannot be, and how they are corrected. */
+/** Tests how totals on the counter are corrected that are new, were lost or show an impossible level. */
 class CounterDriftTest {
     private static final CallOutcome OK = CallOutcome.OK;
 
@@ -31,16 +31,19 @@
         assertTrue(gateway.countActions("send") <= 9, "sent " + gateway.countActions("send"));
     }
 
-    /** What a full store did not take in stayed on the name: each gateway in turn took it for room. */
+    /** Units that accrued beyond a full quota stayed available in the total: each gateway in turn claimed them. */
     @Test
-    void unitsThatAFullQuotaDidNotTakeInAreCorrectedInItsTotal() {
+    void unitsAccruedBeyondAFullQuotaAreCorrectedInItsTotal() {
         List<PolicyHarness> both = QuotaScenarios.twoGateways();
-        assertEquals(2, QuotaScenarios.sentOfBurst(both.get(0), 0, 1) + QuotaScenarios.sentOfBurst(both.get(1), 0, 1));
-        assertEquals(8, QuotaScenarios.sentOfBurst(both.get(0), 600, 8), "full since 250 ms");
-        assertEquals(0, QuotaScenarios.sentOfBurst(both.get(1), 601, 8), "and used up");
+        assertEquals(2, QuotaScenarios.submitBurst(both.get(0), 0, 1) + QuotaScenarios.submitBurst(both.get(1), 0, 1));
+        assertEquals(8, QuotaScenarios.submitBurst(both.get(0), 600, 8), "the quota is full since 250 ms");
+        assertEquals(0, QuotaScenarios.submitBurst(both.get(1), 601, 8), "the quota is used up");
     }
 
-    /** All put a new name right at once: until all but one took theirs back, it showed far too little. */
+    /**
+     * All gateways corrected a new total at the same time: until all but one had reverted their corrections, the total
+     * showed far too few units.
+     */
     @Test
     void newTotalIsCorrectedByOneGatewayFirst() {
         Map<Long, Double> counter = new HashMap<>();
@@ -58,22 +61,22 @@
         for (PolicyHarness gateway : all) {
             gateway.replyToCounterCalls(OK);
             corrections += gateway.log.stream()
-                    .filter(l -> l.startsWith("count 1") && l.length() > 9)
+                    .filter(line -> line.startsWith("count 1") && line.length() > 9)
                     .count();
         }
-        assertEquals(1, corrections, "what the quota has filled in 20 s");
+        assertEquals(1, corrections, "of the units that the quota accrued in 20 s");
         assertEquals(
                 4,
                 all.stream().mapToLong(gateway -> gateway.countActions("send")).sum());
     }
 
     /**
-     * A customer's first requests come 20 s after its name on the counter began, by gateways that are far back in the
-     * turn to correct it. Until one of them had waited for its turn and claimed once more, each claim found what a
-     * quota fills in 20 s, and all of it was given out: 160 units beyond the burst.
+     * A customer's first requests arrive 20 s after the epoch of its total began, at gateways with late turns to
+     * correct the total. Until one of them had waited for its turn and claimed again, each claim found the units that a
+     * quota accrues in 20 s, and all of them were granted: 160 units beyond the burst.
      */
     @Test
-    void newTotalGrantsNoMoreThanTheQuotaWhereTheFirstGatewaysHaveNoRequests() {
+    void newTotalGrantsNoMoreThanTheQuotaIfTheFirstGatewaysHaveNoRequests() {
         Map<Long, Double> counter = new HashMap<>();
         List<PolicyHarness> busy = new ArrayList<>();
         for (int n = 10; n < 20; n++) {
@@ -96,26 +99,29 @@
         assertTrue(sent <= 8 + 8 * 2 + 3, "sent " + sent + " of 24, and 3 that may be claimed ahead");
     }
 
-    /** At a new name the gateway that had read the old one longest ago took its reading for the store's. */
+    /** In a new epoch, the gateway with the oldest reading of the previous total took this reading for the level. */
     @Test
     void newTotalDoesNotGrantWhatOthersHaveTaken() {
         List<PolicyHarness> both = QuotaScenarios.twoGateways();
-        assertEquals(1, QuotaScenarios.sentOfBurst(both.get(0), 20_000, 1), "it last sees a full store");
-        assertEquals(8, QuotaScenarios.sentOfBurst(both.get(1), 29_999, 8));
-        assertEquals(0, QuotaScenarios.sentOfBurst(both.get(0), 30_001, 8), "the store is empty, whatever the name");
+        assertEquals(1, QuotaScenarios.submitBurst(both.get(0), 20_000, 1), "its last reading shows a full quota");
+        assertEquals(8, QuotaScenarios.submitBurst(both.get(1), 29_999, 8));
+        assertEquals(0, QuotaScenarios.submitBurst(both.get(0), 30_001, 8), "the quota is empty in the new epoch too");
     }
 
-    /** A reading amid another gateway's claim that is then cut was held against the store from then on. */
+    /**
+     * A reading taken during another gateway's claim, part of which was then returned, was used as an upper bound of
+     * the level from then on.
+     */
     @Test
-    void lowReadingIsNoBoundForTheNext() {
+    void lowReadingDoesNotBoundTheNext() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
-        QuotaScenarios.sentOfBurst(gateway, 10_000, 6);
+        QuotaScenarios.submitBurst(gateway, 10_000, 6);
         gateway.otherGatewaysClaim(4);
-        QuotaScenarios.sentOfBurst(gateway, 10_100, 1);
-        gateway.otherGatewaysClaim(-4); // given back
-        QuotaScenarios.sentOfBurst(gateway, 10_610, 0);
+        QuotaScenarios.submitBurst(gateway, 10_100, 1);
+        gateway.otherGatewaysClaim(-4); // returned
+        QuotaScenarios.submitBurst(gateway, 10_610, 0);
         double before = gateway.counter.values().iterator().next();
-        QuotaScenarios.sentOfBurst(gateway, 10_611, 3);
-        assertEquals(1, gateway.counter.values().iterator().next() - before, 1e-6, "a claim, and nothing put right");
+        QuotaScenarios.submitBurst(gateway, 10_611, 3);
+        assertEquals(1, gateway.counter.values().iterator().next() - before, 1e-6, "a claim without a correction");
     }
 }
--- a/src/test/java/quotagateway/policy/SilentCounterTest.java
+++ b/src/test/java/quotagateway/policy/CounterOutageTest.java
@@ -7,34 +7,34 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.CallOutcome;
 
-/** What is admitted while the shared counter is away, and once it is back. */
-class SilentCounterTest {
+/** Tests what is admitted while the shared counter does not respond, and after it responds again. */
+class CounterOutageTest {
     private static final CallOutcome OK = CallOutcome.OK;
 
     @Test
-    void counterThatNeverRepliesLeavesTheEvenPart() {
+    void withoutCounterRepliesTheEvenShareIsAdmitted() {
         double rate = QuotaScenarios.sendsPerSecond(new PolicyHarness(), CallOutcome.NO_CONNECTION, 0);
-        assertTrue(rate > 2 && rate < 5, "even part 4: " + rate);
+        assertTrue(rate > 2 && rate < 5, "the even share is 4 a second: " + rate);
     }
 
-    /** Eight broken connections in a row were taken for a counter that is away: nothing was asked for 2 s. */
+    /** Eight consecutive broken connections were treated as an outage of the counter: it was not called for 2 s. */
     @Test
-    void brokenCounterConnectionsAreNoSilence() {
+    void brokenCounterConnectionsAreNotAnOutage() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         for (int i = 0; i < 20; i++) {
             gateway.request(i, "read", "rate", "x" + i);
             gateway.replyToCounterCalls(CallOutcome.RESET);
         }
         gateway.request(20, "read", "rate", "y");
-        assertEquals(21, gateway.countActions("count 1.0"), "the counter is still asked");
+        assertEquals(21, gateway.countActions("count 1.0"), "the counter is still called");
     }
 
     /**
-     * Two gateways with an uneven customer that asks for more than it has: in silence their parts, by what
-     * each was given before, are the quota; by what each had asked for they were up to twice that.
+     * Two gateways receive unequal parts of a customer's requests, which exceed its quota. During an outage, shares by
+     * the units granted before add up to the quota; shares by the units requested were up to twice the quota.
      */
     @Test
-    void sharesOfAllGatewaysInSilenceAreNoMoreThanTheQuota() {
+    void sharesOfAllGatewaysInAnOutageDoNotExceedTheQuota() {
         List<PolicyHarness> both = QuotaScenarios.twoGateways();
         long id = 0;
         for (int t = 0; t < 16_000; t += 20) {
@@ -45,7 +45,7 @@
             PolicyHarness gateway = both.get(t % 80 == 0 ? 1 : 0);
             gateway.request(id, "read", "rate", "c");
             gateway.replyToCounterCalls(t < 6000 ? OK : CallOutcome.NO_CONNECTION);
-            for (long k = Math.max(0, id++ - 60); k < id; k++) { // what was sent is answered
+            for (long k = Math.max(0, id++ - 60); k < id; k++) { // answers what was sent
                 both.get(0).endAttempt(k, 0, OK);
                 both.get(1).endAttempt(k, 0, OK);
             }
@@ -57,9 +57,9 @@
         assertTrue(sent > 50 && sent <= 8 * 8 + 2, "8 a second for 8 s: " + sent);
     }
 
-    /** Requests move while nothing is heard: a gateway that had few before held them to its old part. */
+    /** Requests moved during an outage: a gateway that had few before limited the new ones to its old share. */
     @Test
-    void shareInSilenceSoonBecomesTheEvenPart() {
+    void shareInAnOutageSoonBecomesTheEvenShare() {
         List<PolicyHarness> both = QuotaScenarios.twoGateways();
         long before = 0;
         for (int t = 0; t < 10_000; t += 20) {
@@ -81,9 +81,9 @@
         assertTrue(sent >= 3 && sent <= 9, "up to 4 a second for 2 s: " + sent);
     }
 
-    /** A counter that is back empty had each gateway hand out what the others had sent in the meantime. */
+    /** After a counter came back empty, each gateway granted the units that others had spent in the meantime. */
     @Test
-    void unitsThatOthersUsedInSilenceAreNotGrantedAgain() {
+    void unitsUsedByOthersInAnOutageAreNotGrantedAgain() {
         List<PolicyHarness> both = QuotaScenarios.twoGateways();
         long before = 0;
         for (int t = 0; t < 12_000; t += 20) {
@@ -103,12 +103,12 @@
             }
         }
         long sent = both.get(0).countActions("send") + both.get(1).countActions("send") - before;
-        assertTrue(sent >= 4 && sent <= 13, "8 a second, the store was used up: " + sent);
+        assertTrue(sent >= 4 && sent <= 13, "8 a second, as the quota was used up: " + sent);
     }
 
-    /** What was sent in silence was taken off the store again when the counter was back, filled up or not. */
+    /** Units spent in an outage were deducted when the counter was back, even if the quota had refilled since. */
     @Test
-    void unitsUsedInALongPastSilenceAreNotTakenOffAFullQuota() {
+    void unitsUsedInAnEarlierOutageAreNotDeductedFromAFullQuota() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         for (int i = 0; i < 500; i++) {
             gateway.advanceTo(i * 20);
@@ -120,11 +120,10 @@
             }
         }
         gateway.counter.clear();
-        for (int t = 10_000; t < 12_500; t += 20) { // its customer rests, and the store fills up
+        for (int t = 10_000; t < 12_500; t += 20) { // no requests come, and the quota refills
             gateway.advanceTo(t);
             gateway.replyToCounterCalls(OK);
         }
-        assertTrue(
-                QuotaScenarios.sentOfBurst(gateway, 12_500, 8) >= 7, "a full store, and a counter that is back empty");
+        assertTrue(QuotaScenarios.submitBurst(gateway, 12_500, 8) >= 7, "full quota, and the counter came back empty");
     }
 }
--- a/src/test/java/quotagateway/policy/QuotaClaimTest.java
+++ b/src/test/java/quotagateway/policy/QuotaClaimTest.java
@@ -12,18 +12,18 @@
 import quotagateway.policy.api.IncomingRequest;
 
 /**
- * How units are claimed from the counter and shared by the gateways. The plan "rate" has 8 units a second and a burst
- * of 8, which is 2 units a re-split period.
+ * Tests how units are claimed from the counter and shared by the gateways. The plan "rate" has a burst of 8 and 8 units
+ * a second, which is 2 units per re-split period.
  */
 class QuotaClaimTest {
     private static final CallOutcome OK = CallOutcome.OK;
 
     @Test
-    void firstRequestIsClaimedAtOnceAndWaitsForTheTotal() {
+    void firstRequestIsClaimedImmediatelyAndWaitsForTheReply() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         gateway.request(1, "read", "rate", "c");
-        assertEquals(0, gateway.countActions("send"), "no part has been given yet");
-        assertEquals(1, gateway.countActions("count 1.0"), "its weight");
+        assertEquals(0, gateway.countActions("send"), "no unit has been granted yet");
+        assertEquals(1, gateway.countActions("count 1.0"), "the unit of the request is claimed");
         gateway.replyToCounterCalls(OK);
         assertEquals(1, gateway.countActions("send 1"));
     }
@@ -41,10 +41,10 @@
         gateway.advanceTo(260);
         assertTrue(
                 gateway.countActions("send") - before >= 1 && gateway.countActions("send") - before <= 3,
-                "D = 2 a subperiod");
+                "2 units per re-split period");
     }
 
-    /** All that is held was added, and most of it taken off again: two calls where none had been of use. */
+    /** The units of all waiting requests were claimed and most were returned: two calls where none was of use. */
     @Test
     void noMoreIsClaimedThanTheLastReadingLeaves() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
@@ -52,14 +52,14 @@
             gateway.request(i, "read", "rate", "c");
         }
         gateway.replyToCounterCalls(OK);
-        assertEquals(1, gateway.countActions("count 10.0"), "7 in the store and what comes until they are of no use");
+        assertEquals(1, gateway.countActions("count 10.0"), "7 units left and 3 that accrue by the latest start");
         gateway.replyToCounterCalls(OK);
         gateway.advanceTo(440);
-        assertEquals(0, gateway.countActions("count -"), "nothing to give back: " + gateway.log);
+        assertEquals(0, gateway.countActions("count -"), "no units to return: " + gateway.log);
     }
 
     @Test
-    void claimedUnitsThatOthersTookMeanwhileAreReturned() {
+    void claimedUnitsTakenByOthersInTheMeantimeAreReturned() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         for (int i = 0; i < 20; i++) {
             gateway.request(i, "read", "rate", "c");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void gatewayAloneTakesTheWholeQuota() {
+    void gatewayWithAllRequestsUsesTheCompleteQuota() {
         assertEquals(8, QuotaScenarios.sendsPerSecond(new PolicyHarness(), OK, 0), 0.8);
     }
 
@@ -81,41 +81,41 @@
         assertEquals(2, QuotaScenarios.sendsPerSecond(new PolicyHarness(), OK, 6), 0.9);
     }
 
-    /** A give-back that was turned away was added once more in place of taken off with the next call. */
+    /** The units of a rejected return were added again instead of subtracted with the next call. */
     @Test
-    void rejectedReturnOfUnitsIsMadeUpForByTheNextCall() {
-        double[] given = afterGiveBack(OK);
+    void rejectedReturnOfUnitsIsRepeatedWithTheNextCall() {
+        double[] accepted = returnedAndNextAmount(OK);
         for (CallOutcome outcome : List.of(CallOutcome.FULL, CallOutcome.RESET)) {
-            double[] turned = afterGiveBack(outcome);
-            assertEquals(given[0], turned[0]);
-            assertEquals(given[1] + given[0], turned[1], "the next call takes it off too");
+            double[] rejected = returnedAndNextAmount(outcome);
+            assertEquals(accepted[0], rejected[0]);
+            assertEquals(accepted[1] + accepted[0], rejected[1], "the next call also subtracts the rejected return");
         }
     }
 
-    /** What was given back of a claim past the store, and the next amount added once that had ended. */
-    private static double[] afterGiveBack(CallOutcome outcome) {
+    /** Returns the amount that returns part of a claim beyond the quota, and the next amount added after that call. */
+    private static double[] returnedAndNextAmount(CallOutcome outcome) {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         for (int i = 0; i < 20; i++) {
             gateway.request(i, "read", "rate", "c");
         }
         gateway.otherGatewaysClaim(4);
-        gateway.replyToCounterCalls(OK); // the claim of the first
-        gateway.replyToCounterCalls(OK); // of the rest
+        gateway.replyToCounterCalls(OK); // the claim of the first request
+        gateway.replyToCounterCalls(OK); // the claim of the other requests
         assertEquals(1, gateway.counterCalls.size(), gateway.log.toString());
-        double back = Double.parseDouble(gateway.log.stream()
-                .filter(l -> l.startsWith("count "))
-                .reduce((p, l) -> l)
+        double returnedAmount = Double.parseDouble(gateway.log.stream()
+                .filter(line -> line.startsWith("count "))
+                .reduce((previous, line) -> line)
                 .orElseThrow()
                 .substring("count ".length()));
-        assertTrue(back < 0, gateway.log.toString());
+        assertTrue(returnedAmount < 0, gateway.log.toString());
         gateway.replyToCounterCalls(outcome);
         gateway.log.clear();
         gateway.advanceTo(1500);
         gateway.request(50, "read", "rate", "c");
         return new double[] {
-            back,
+            returnedAmount,
             Double.parseDouble(gateway.log.stream()
-                    .filter(l -> l.startsWith("count "))
+                    .filter(line -> line.startsWith("count "))
                     .findFirst()
                     .orElseThrow()
                     .substring("count ".length()))
@@ -123,12 +123,12 @@
     }
 
     @Test
-    void claimThatTimedOutIsTakenAsAddedByTheNext() {
+    void timedOutClaimCountsAsAddedForTheNextClaim() {
         PolicyHarness gateway = new PolicyHarness().start().listEndpoints(8);
         gateway.request(1, "read", "rate", "c");
         gateway.replyToCounterCalls(CallOutcome.TIMEOUT);
         gateway.advanceTo(300);
-        assertEquals(1, gateway.countActions("count 0.0"), "the weight is on the counter already");
+        assertEquals(1, gateway.countActions("count 0.0"), "the unit is in the total already");
         gateway.replyToCounterCalls(OK);
         assertEquals(1, gateway.countActions("send 1"));
     }
@@ -149,7 +149,7 @@
             for (PolicyHarness gateway : all) {
                 gateway.advanceTo(t);
             }
-            PolicyHarness gateway = all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 has a quarter and more
+            PolicyHarness gateway = all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 gets over a quarter
             gateway.policy.onRequest(t, new IncomingRequest(id, "read", "rate", "c", 2000, 1, 100, 0, false));
             gateway.replyToCounterCalls(OK);
             gateway.endAttempt(id++, 0, OK);
@@ -159,7 +159,7 @@
         assertTrue(sent <= 8 + 8 * 20 + 2 && sent > 8 * 20 * 0.8, "burst 8 and 8 a second for 20 s: " + sent);
         assertTrue(
                 all.get(7).countActions("send") > sent / 8.0,
-                "weight: " + all.get(7).countActions("send"));
+                "sent by gateway 7: " + all.get(7).countActions("send"));
     }
 
     @Test
@@ -181,11 +181,11 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        PolicyHarness one = new PolicyHarness();
-        PolicyHarness two = new PolicyHarness();
-        QuotaScenarios.sendsPerSecond(one, OK, 3);
-        QuotaScenarios.sendsPerSecond(two, OK, 3);
-        assertEquals(one.log, two.log);
-        assertTrue(one.log.size() > 100);
+        PolicyHarness first = new PolicyHarness();
+        PolicyHarness second = new PolicyHarness();
+        QuotaScenarios.sendsPerSecond(first, OK, 3);
+        QuotaScenarios.sendsPerSecond(second, OK, 3);
+        assertEquals(first.log, second.log);
+        assertTrue(first.log.size() > 100);
     }
 }
--- a/src/test/java/quotagateway/policy/QuotaScenarios.java
+++ b/src/test/java/quotagateway/policy/QuotaScenarios.java
@@ -6,13 +6,16 @@
 import java.util.Map;
 import quotagateway.policy.api.CallOutcome;
 
-/** Courses of events that several tests of quotas share. */
+/** Scenarios that several tests of quotas share. */
 final class QuotaScenarios {
     private static final CallOutcome OK = CallOutcome.OK;
 
     private QuotaScenarios() {}
 
-    /** Sends a second in the last 4 s of 12 s of far too many requests; others add as told in between. */
+    /**
+     * Returns the sends per second in the last 4 s of 12 s of requests far beyond the quota, while other gateways take
+     * units at the given rate.
+     */
     static double sendsPerSecond(PolicyHarness gateway, CallOutcome outcome, double othersPerSecond) {
         gateway.start().listEndpoints(8);
         long before = 0;
@@ -25,14 +28,14 @@
             }
             gateway.request(i, "read", "rate", "c");
             gateway.replyToCounterCalls(outcome);
-            for (int k = Math.max(0, i - 60); k <= i; k++) { // what was sent is answered; else an odd event
+            for (int k = Math.max(0, i - 60); k <= i; k++) { // answers what was sent; else a spurious event
                 gateway.endAttempt(k, 0, OK);
             }
         }
         return (gateway.countActions("send") - before) / 4.0;
     }
 
-    /** Two gateways at one counter; the arrivals are numbered on. */
+    /** Returns two gateways that share a counter. */
     static List<PolicyHarness> twoGateways() {
         Map<Long, Double> counter = new HashMap<>();
         List<PolicyHarness> both = new ArrayList<>();
@@ -44,8 +47,11 @@
         return both;
     }
 
-    /** So many arrive at a time, and the counter answers as far as it is asked; how many are sent at once. */
-    static long sentOfBurst(PolicyHarness gateway, double time, int requests) {
+    /**
+     * Submits this number of requests at the given time, answers all counter calls, and returns how many requests are
+     * sent immediately. Request ids increase with the time.
+     */
+    static long submitBurst(PolicyHarness gateway, double time, int requests) {
         gateway.advanceTo(time);
         while (!gateway.counterCalls.isEmpty()) {
             gateway.replyToCounterCalls(OK);
--- a/src/test/java/quotagateway/policy/quota/CounterCallsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterCallsTest.java
@@ -15,15 +15,15 @@
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
 
-/** When the counter may be called (a reply is waited for 50 ms), and who gets the reply. */
+/** Tests when the counter may be called, with a timeout of 50 ms, and which handler gets the reply. */
 class CounterCallsTest {
     private final EventClock clock = new EventClock(0);
-    private final RecordingActions host = new RecordingActions();
-    private final CounterSilence silence = new CounterSilence();
+    private final RecordingActions actions = new RecordingActions();
+    private final CounterCircuitBreaker breaker = new CounterCircuitBreaker();
 
     private CounterCallWindow window(int gateways) {
         return new CounterCallWindow(
-                PolicyFixtures.settings(gateways), clock, new TimerQueue(clock, host), new Random(1));
+                PolicyFixtures.settings(gateways), clock, new TimerQueue(clock, actions), new Random(1));
     }
 
     private static void call(CounterCallWindow window, CallOutcome outcome, double tookMs) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void allGatewaysTogetherBeginWithSixteenCalls() {
+    void initialWindowIsAShareOfSixteenCallsAndAtLeastOne() {
         assertEquals(8, window(2).window());
         assertEquals(1, window(100).window());
     }
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void quickReplyGrowsTheWindowOnlyWhereItWasUsedUp() {
+    void quickReplyGrowsTheWindowOnlyIfItWasFull() {
         CounterCallWindow window = window(2);
         call(window, CallOutcome.OK, 1);
         assertEquals(8, window.window());
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void slowAndLostCallsShrinkTheWindowAndALostOneIsFollowedByAPause() {
+    void slowAndLostCallsShrinkTheWindowAndALostCallIsFollowedByAPause() {
         CounterCallWindow window = window(2);
         call(window, CallOutcome.OK, 26);
         assertEquals(8 * 0.9, window.window(), 1e-9);
@@ -71,11 +71,11 @@
         assertEquals(8 * 0.9 * 0.7, window.window(), 1e-9);
         assertFalse(window.hasRoom());
         clock.advanceTo(75);
-        assertTrue(window.hasRoom(), "half a time limit to one and a half");
+        assertTrue(window.hasRoom(), "the pause lasts half a timeout to one and a half timeouts");
     }
 
     @Test
-    void brokenConnectionsAndErrorsLeaveTheWindow() {
+    void brokenConnectionsAndErrorsDoNotChangeTheWindow() {
         CounterCallWindow window = window(2);
         call(window, CallOutcome.RESET, 1);
         call(window, CallOutcome.ERROR, 1);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void smallTierKeepsOneCallALargeOneASixteenth() {
+    void windowIsAtLeastOneInASmallFleetAndASixteenthInALargeOne() {
         CounterCallWindow small = window(10);
         CounterCallWindow large = window(1000);
         for (int i = 0; i < 50; i++) {
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void windowBelowOneIsAPauseAfterEachCall() {
+    void windowBelowOneMeansAPauseAfterEachCall() {
         CounterCallWindow window = window(1000);
         window.onCall();
         window.onReply(CallOutcome.OK, 26);
@@ -109,73 +109,73 @@
     }
 
     @Test
-    void eightMissesInARowAreASilence() {
+    void eightConsecutiveMissesOpenTheBreaker() {
         for (int i = 0; i < 7; i++) {
-            silence.onReply(CallOutcome.TIMEOUT, 100);
+            breaker.onReply(CallOutcome.TIMEOUT, 100);
         }
-        assertFalse(silence.isSilent(100));
-        silence.onReply(CallOutcome.NO_CONNECTION, 100);
-        assertTrue(silence.isSilent(349));
-        assertFalse(silence.isSilent(350));
-        assertTrue(silence.isProbing());
-        assertEquals(100, silence.silentSince());
+        assertFalse(breaker.isOpen(100));
+        breaker.onReply(CallOutcome.NO_CONNECTION, 100);
+        assertTrue(breaker.isOpen(349));
+        assertFalse(breaker.isOpen(350));
+        assertTrue(breaker.isProbing());
+        assertEquals(100, breaker.openSince());
     }
 
     @Test
-    void repliesEndTheMissesAndBrokenConnectionsAreNone() {
+    void repliesResetTheMissesAndBrokenConnectionsAreNotCounted() {
         for (int i = 0; i < 7; i++) {
-            silence.onReply(CallOutcome.TIMEOUT, 100);
+            breaker.onReply(CallOutcome.TIMEOUT, 100);
         }
-        silence.onReply(CallOutcome.RESET, 100);
-        silence.onReply(CallOutcome.ERROR, 100);
-        assertFalse(silence.isProbing());
-        silence.onReply(CallOutcome.OK, 100);
-        silence.onReply(CallOutcome.TIMEOUT, 100);
-        assertFalse(silence.isProbing());
+        breaker.onReply(CallOutcome.RESET, 100);
+        breaker.onReply(CallOutcome.ERROR, 100);
+        assertFalse(breaker.isProbing());
+        breaker.onReply(CallOutcome.OK, 100);
+        breaker.onReply(CallOutcome.TIMEOUT, 100);
+        assertFalse(breaker.isProbing());
     }
 
     @Test
-    void backoffDoublesToTwoSecondsAndSilenceBeganWithTheFirst() {
+    void backoffDoublesUpToTwoSecondsAndKeepsTheStartOfTheOutage() {
         double now = 0;
         for (int i = 0; i < 8; i++) {
-            silence.onReply(CallOutcome.TIMEOUT, now);
+            breaker.onReply(CallOutcome.TIMEOUT, now);
         }
         for (double backoff : new double[] {250, 500, 1000, 2000, 2000}) {
-            assertTrue(silence.isSilent(now + backoff - 1));
-            assertFalse(silence.isSilent(now + backoff));
+            assertTrue(breaker.isOpen(now + backoff - 1));
+            assertFalse(breaker.isOpen(now + backoff));
             now += backoff;
-            silence.onReply(CallOutcome.TIMEOUT, now);
+            breaker.onReply(CallOutcome.TIMEOUT, now);
         }
-        assertEquals(0, silence.silentSince());
+        assertEquals(0, breaker.openSince());
     }
 
     @Test
     void repliesOfOneNameGoToItsCallsInTheirOrder() {
-        CounterCalls calls = new CounterCalls(host, clock, window(2));
+        CounterCalls calls = new CounterCalls(actions, clock, window(2));
         List<String> replies = new ArrayList<>();
         calls.add(7, 1, 1000, null, (outcome, total) -> replies.add("first " + outcome + " " + total));
         calls.add(7, 2, 1000, null, (outcome, total) -> replies.add("second " + outcome + " " + total));
-        assertEquals(List.of("add 1.0", "add 2.0"), host.take());
+        assertEquals(List.of("add 1.0", "add 2.0"), actions.take());
         calls.onReply(7, CallOutcome.OK, 1, 1);
         calls.onReply(7, CallOutcome.TIMEOUT, 50, 0);
         assertEquals(List.of("first OK 1.0", "second TIMEOUT 0.0"), replies);
-        assertNull(calls.onReply(7, CallOutcome.OK, 1, 3), "no such call");
+        assertNull(calls.onReply(7, CallOutcome.OK, 1, 3), "no call of this name waits for a reply");
         assertEquals(2, replies.size());
     }
 
     @Test
-    void silentCounterIsNotCalledAndThenProbedByOneCall() {
-        CounterCalls calls = new CounterCalls(host, clock, window(2));
+    void unresponsiveCounterIsNotCalledAndThenProbedByOneCall() {
+        CounterCalls calls = new CounterCalls(actions, clock, window(2));
         for (int i = 0; i < 8; i++) {
             calls.add(i, 1, 1000, null, (outcome, total) -> {});
             calls.onReply(i, CallOutcome.NO_CONNECTION, 1, 0);
         }
-        assertTrue(calls.isSilent());
+        assertTrue(calls.isSuspended());
         assertFalse(calls.mayCall());
         clock.advanceTo(250);
         assertTrue(calls.mayCall());
         calls.add(9, 1, 1000, null, (outcome, total) -> {});
-        assertFalse(calls.mayCall(), "one at a time");
+        assertFalse(calls.mayCall(), "one probe at a time");
         calls.onReply(9, CallOutcome.OK, 1, 1);
         assertTrue(calls.mayCall());
     }
--- a/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerQuotaTest.java
@@ -11,28 +11,28 @@
 import quotagateway.policy.api.QuotaPlan;
 import quotagateway.policy.testing.PolicyFixtures;
 
-/** One customer's quota: 8 units a second, burst 8, shared by two gateways unless said otherwise. */
+/** Tests one customer's quota: 8 units a second, burst 8, shared by two gateways unless stated otherwise. */
 class CustomerQuotaTest {
     private static final QuotaPlan THREE_OPEN = new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0);
 
     private final QuotaFixture fixture = new QuotaFixture(2);
     private final QuotaFixture.Demand demand = fixture.demand;
 
-    /** The counter calls since the last time. */
-    private List<String> added() {
-        return fixture.host.take().stream()
+    /** Returns the counter calls since the last invocation. */
+    private List<String> takeCounterCalls() {
+        return fixture.actions.take().stream()
                 .filter(line -> line.startsWith("add"))
                 .toList();
     }
 
     private CustomerQuota reply(CallOutcome outcome, double total) {
-        long name = fixture.host.takeCounterNames().get(0);
+        long name = fixture.actions.takeCounterNames().get(0);
         return fixture.calls.onReply(name, outcome, 2, total);
     }
 
     private int admitWaiting(CustomerQuota quota) {
         int admitted = 0;
-        while (demand.requests > 0 && quota.admits(fixture.request())) {
+        while (demand.requests > 0 && quota.tryAdmit(fixture.request())) {
             demand.requests--;
             quota.spend(1);
             admitted++;
@@ -41,32 +41,32 @@
     }
 
     @Test
-    void gatewayAloneHasTheBurstAtOnceAndThenTheRate() {
+    void singleGatewayAdmitsTheBurstImmediatelyAndThenTheRate() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 1);
         demand.requests = 20;
         assertEquals(8, admitWaiting(quota));
         fixture.clock.advanceTo(500);
         assertEquals(4, admitWaiting(quota));
-        assertEquals(List.of(), added(), "no counter is needed");
+        assertEquals(List.of(), takeCounterCalls(), "no counter is needed");
     }
 
     @Test
     void requestIsAdmittedOnceItsUnitIsLeased() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 1;
-        assertFalse(quota.admits(fixture.request()));
-        assertFalse(quota.admits(fixture.request()));
-        assertEquals(List.of("add 1.0"), added(), "claimed once");
+        assertFalse(quota.tryAdmit(fixture.request()));
+        assertFalse(quota.tryAdmit(fixture.request()));
+        assertEquals(List.of("add 1.0"), takeCounterCalls(), "the unit is claimed once");
         assertSame(quota, reply(CallOutcome.OK, 1));
         assertEquals(1, admitWaiting(quota));
     }
 
     @Test
-    void claimIsBoundedByWhatCanBeThereInTime() {
+    void claimIsBoundedByTheUnitsAvailableInTime() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 50;
-        quota.admits(fixture.request());
-        assertEquals(List.of("add 11.0"), added(), "8 and the 3 that come in 400 ms");
+        quota.tryAdmit(fixture.request());
+        assertEquals(List.of("add 11.0"), takeCounterCalls(), "the burst of 8 and the 3 units that accrue in 400 ms");
         reply(CallOutcome.OK, 11);
         assertEquals(8, admitWaiting(quota));
         fixture.clock.advanceTo(125);
@@ -78,48 +78,48 @@
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 5;
         demand.latestStart = 0;
-        quota.admits(fixture.request());
-        added();
-        reply(CallOutcome.OK, 11); // six before ours
-        assertEquals(List.of("add -3.0"), added());
+        quota.tryAdmit(fixture.request());
+        takeCounterCalls();
+        reply(CallOutcome.OK, 11); // other gateways added 6 units before the claim
+        assertEquals(List.of("add -3.0"), takeCounterCalls());
         assertEquals(2, admitWaiting(quota));
     }
 
     @Test
-    void claimThatWasNotAddedIsMadeAnewAndOneThatTimedOutCountsAsAdded() {
+    void claimThatWasNotAddedIsRepeatedAndOneThatFailedCountsAsAdded() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 1;
-        quota.admits(fixture.request());
-        added();
+        quota.tryAdmit(fixture.request());
+        takeCounterCalls();
         reply(CallOutcome.FULL, 0);
         fixture.clock.advanceTo(250);
-        quota.admits(fixture.request());
-        assertEquals(List.of("add 1.0"), added());
+        quota.tryAdmit(fixture.request());
+        assertEquals(List.of("add 1.0"), takeCounterCalls());
         reply(CallOutcome.ERROR, 0);
         fixture.clock.advanceTo(500);
-        quota.admits(fixture.request());
-        assertEquals(List.of("add 0.0"), added());
+        quota.tryAdmit(fixture.request());
+        assertEquals(List.of("add 0.0"), takeCounterCalls());
     }
 
     @Test
-    void unitsReallyUsedAreAddedWithTheNextClaim() {
+    void actualUnitsAreAddedWithTheNextClaim() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         quota.correctSpending(3);
         demand.requests = 1;
-        quota.admits(fixture.request());
-        assertEquals(List.of("add 4.0"), added());
+        quota.tryAdmit(fixture.request());
+        assertEquals(List.of("add 4.0"), takeCounterCalls());
     }
 
     @Test
     void surplusIsReturnedAtTheResplit() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 2);
         demand.requests = 5;
-        quota.admits(fixture.request());
+        quota.tryAdmit(fixture.request());
         reply(CallOutcome.OK, 5);
-        demand.requests = 0; // the clients have gone
-        added();
-        assertFalse(quota.resplit(), "not short");
-        assertEquals(List.of("add -5.0"), added());
+        demand.requests = 0; // the clients have disconnected
+        takeCounterCalls();
+        assertFalse(quota.resplit(), "units are not short");
+        assertEquals(List.of("add -5.0"), takeCounterCalls());
         assertTrue(quota.isIdle());
     }
 
@@ -129,9 +129,9 @@
         for (int i = 0; i < 5; i++) {
             quota.onRequest(2);
         }
-        assertTrue(quota.resplit(), "short");
+        assertTrue(quota.resplit(), "units are short");
         quota.claimAhead();
-        assertEquals(List.of("add 2.0"), added(), "a fifth of ten");
+        assertEquals(List.of("add 2.0"), takeCounterCalls(), "10 units with the weight 1/5");
     }
 
     @Test
@@ -141,7 +141,7 @@
         resplit.activate(quota);
         quota.onRequest(10);
         resplit.resplit();
-        assertEquals(List.of("add 2.0"), added());
+        assertEquals(List.of("add 2.0"), takeCounterCalls());
         assertTrue(resplit.isActive(quota));
         reply(CallOutcome.OK, 2);
         for (int period = 0; period < 40; period++) {
@@ -151,50 +151,50 @@
     }
 
     @Test
-    void plentyIsHalfOfTheBurst() {
+    void quotaIsAmpleAtHalfOfTheBurst() {
         CustomerQuota quota = fixture.quota(PolicyFixtures.RATE_PLAN, 1);
         demand.requests = 5;
-        assertTrue(quota.hasPlenty());
+        assertTrue(quota.hasAmpleQuota());
         assertEquals(5, admitWaiting(quota));
-        assertFalse(quota.hasPlenty());
+        assertFalse(quota.hasAmpleQuota());
     }
 
     @Test
     void openRequestNeedsASlotFromTheCounter() {
         CustomerQuota quota = fixture.quota(THREE_OPEN, 2);
-        assertFalse(quota.admits(fixture.request()));
-        assertEquals(List.of("add 1.0"), added());
+        assertFalse(quota.tryAdmit(fixture.request()));
+        assertEquals(List.of("add 1.0"), takeCounterCalls());
         reply(CallOutcome.OK, 3);
-        assertTrue(quota.admits(fixture.request()));
+        assertTrue(quota.tryAdmit(fixture.request()));
         demand.inFlight = 1;
-        assertFalse(quota.admits(fixture.request()), "its slot is taken");
-        added();
+        assertFalse(quota.tryAdmit(fixture.request()), "the only slot is in use");
+        takeCounterCalls();
         reply(CallOutcome.OK, 4);
-        assertEquals(List.of("add -1.0"), added(), "the fourth of three");
+        assertEquals(List.of("add -1.0"), takeCounterCalls(), "the fourth of three slots is returned");
     }
 
     @Test
     void unusedSlotIsReturnedUnlessARequestWaits() {
         CustomerQuota quota = fixture.quota(THREE_OPEN, 2);
-        quota.admits(fixture.request());
+        quota.tryAdmit(fixture.request());
         reply(CallOutcome.OK, 1);
-        added();
+        takeCounterCalls();
         demand.requests = 1;
         quota.returnUnusedSlots();
-        assertEquals(List.of(), added());
+        assertEquals(List.of(), takeCounterCalls());
         demand.requests = 0;
         assertFalse(quota.isIdle());
         quota.returnUnusedSlots();
-        assertEquals(List.of("add -1.0"), added());
+        assertEquals(List.of("add -1.0"), takeCounterCalls());
         assertTrue(quota.isIdle());
     }
 
     @Test
-    void gatewayAloneOpensUpToTheLimit() {
+    void singleGatewayOpensRequestsUpToTheLimit() {
         CustomerQuota quota = fixture.quota(THREE_OPEN, 1);
         demand.inFlight = 2;
-        assertTrue(quota.admits(fixture.request()));
+        assertTrue(quota.tryAdmit(fixture.request()));
         demand.inFlight = 3;
-        assertFalse(quota.admits(fixture.request()));
+        assertFalse(quota.tryAdmit(fixture.request()));
     }
 }
--- a/src/test/java/quotagateway/policy/quota/GrantEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/quota/GrantEstimatorTest.java
@@ -10,56 +10,56 @@
 
 class GrantEstimatorTest {
     private final QuotaFixture fixture = new QuotaFixture(2);
-    private final Ewma usualGrant = new Ewma(0.03, 1);
+    private final Ewma averageGrantRatio = new Ewma(0.03, 1);
 
-    /** Of a plan where a request beyond the quota earns and costs these parts of its worth. */
+    /** Returns an estimator for a plan where a request beyond the quota earns and costs these parts of its worth. */
     private GrantEstimator grants(double excessWeight, double excessCost) {
         QuotaPlan plan = new QuotaPlan("p", 8, 8, 0, 1, excessWeight, excessCost, 0, 0, 0);
-        return new GrantEstimator(plan, fixture.context.limiter(), fixture.traffic, usualGrant);
+        return new GrantEstimator(plan, fixture.context.limiter(), fixture.traffic, averageGrantRatio);
     }
 
     @Test
-    void newCustomerBeginsWithWhatIsUsual() {
+    void newCustomerStartsWithTheAverage() {
         GrantEstimator grants = grants(0, 1);
         assertTrue(grants.isMostlyGranted());
-        grants.recordClaim(0);
+        grants.recordClaimReply(0);
         assertFalse(grants.isMostlyGranted());
-        assertEquals(0.97, usualGrant.value(), 1e-9);
+        assertEquals(0.97, averageGrantRatio.value(), 1e-9);
     }
 
     @Test
     void lastReplyCountsHalf() {
         GrantEstimator grants = grants(0, 1);
-        grants.recordClaim(0.4);
-        assertTrue(grants.isMostlyGranted(), "0.7");
-        grants.recordSlot(false);
-        assertFalse(grants.isMostlyGranted(), "0.35");
-        grants.recordSlot(true);
+        grants.recordClaimReply(0.4);
+        assertTrue(grants.isMostlyGranted(), "the ratio is 0.7");
+        grants.recordSlotReply(false);
+        assertFalse(grants.isMostlyGranted(), "the ratio is 0.35");
+        grants.recordSlotReply(true);
         assertTrue(grants.isMostlyGranted());
     }
 
     @Test
-    void unaskedAdmissionPaysAboveTheBreakEvenOfThePlan() {
-        GrantEstimator dear = grants(0, 1); // breaks even at a half
-        GrantEstimator cheap = grants(0, 0.1); // at an eleventh
-        for (GrantEstimator grants : new GrantEstimator[] {dear, cheap}) {
-            assertTrue(grants.paysToAdmitUnasked());
-            grants.recordSlot(false);
-            grants.recordSlot(false);
+    void admissionWithoutCounterPaysAboveTheBreakEvenOfThePlan() {
+        GrantEstimator expensive = grants(0, 1); // breaks even at 1/2
+        GrantEstimator cheap = grants(0, 0.1); // breaks even at 1/11
+        for (GrantEstimator grants : new GrantEstimator[] {expensive, cheap}) {
+            assertTrue(grants.isWorthAdmittingWithoutCounter());
+            grants.recordSlotReply(false);
+            grants.recordSlotReply(false);
         }
-        assertFalse(dear.paysToAdmitUnasked());
-        assertTrue(cheap.paysToAdmitUnasked());
+        assertFalse(expensive.isWorthAdmittingWithoutCounter());
+        assertTrue(cheap.isWorthAdmittingWithoutCounter());
     }
 
     /**
-     * A rejected client comes again, and most of them are served then. The gain of an admission was set at the whole
-     * worth of the request all the same, so that units beyond quotas were paid for requests that would not be lost.
+     * Rejected clients retry, and most of them are served then. The gain of an admission was nevertheless set to the
+     * full worth of the request, so that units beyond the quota were paid for requests that would not have been lost.
      */
     @Test
-    void unaskedAdmissionPaysLessWhereRejectedClientsComeAgain() {
+    void admissionWithoutCounterPaysLessIfRejectedClientsRetry() {
         GrantEstimator grants = grants(0, 1);
-        grants.recordClaim(0.4); // 0.7 is granted
-        assertTrue(grants.paysToAdmitUnasked(), "above a half");
+        grants.recordClaimReply(0.4); // the ratio is 0.7
+        assertTrue(grants.isWorthAdmittingWithoutCounter(), "above the break-even of 1/2");
         for (int period = 0; period < 200; period++) {
             fixture.traffic.onRequest();
             fixture.traffic.onRepeat();
@@ -68,11 +68,11 @@
             fixture.traffic.endPeriod();
         }
         fixture.context.limiter().startWith(100);
-        assertFalse(grants.paysToAdmitUnasked(), "nothing is lost by a rejection");
+        assertFalse(grants.isWorthAdmittingWithoutCounter(), "nothing is lost by a rejection");
     }
 
     @Test
-    void planWithoutACostHasABreakEvenToo() {
-        assertTrue(grants(1, 0).paysToAdmitUnasked());
+    void planWithoutExcessCostHasABreakEven() {
+        assertTrue(grants(1, 0).isWorthAdmittingWithoutCounter());
     }
 }
--- a/src/test/java/quotagateway/policy/quota/QuotaPartsTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaComponentsTest.java
@@ -10,9 +10,9 @@
 import quotagateway.policy.api.QuotaPlan;
 import quotagateway.policy.testing.PolicyFixtures;
 
-/** The small parts of a quota, which know nothing of each other. */
-class QuotaPartsTest {
-    private static final QuotaHolder HOLDER = QuotaHolder.of("c rate", PolicyFixtures.RATE_PLAN, 4, 1, true);
+/** Tests the small classes that make up a quota. */
+class QuotaComponentsTest {
+    private static final QuotaScope SCOPE = QuotaScope.of("c rate", PolicyFixtures.RATE_PLAN, 4, 1, true);
 
     @Test
     void tokenBucketRefillsUpToItsBurst() {
@@ -26,34 +26,33 @@
     }
 
     @Test
-    void holderIsLocalWithoutACounterOrOtherGateways() {
-        assertFalse(HOLDER.local());
-        assertTrue(QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 1, 0, true).local());
-        assertTrue(QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 4, 0, false).local());
+    void scopeIsLocalWithoutACounterOrOtherGateways() {
+        assertFalse(SCOPE.local());
+        assertTrue(QuotaScope.of("c", PolicyFixtures.RATE_PLAN, 1, 0, true).local());
+        assertTrue(QuotaScope.of("c", PolicyFixtures.RATE_PLAN, 4, 0, false).local());
+        assertEquals(1, QuotaScope.of("c", PolicyFixtures.RATE_PLAN, 0, 0, true).gatewayCount());
         assertEquals(
-                1, QuotaHolder.of("c", PolicyFixtures.RATE_PLAN, 0, 0, true).gatewayCount());
-        assertEquals(
-                HOLDER.key(),
-                QuotaHolder.of("c rate", PolicyFixtures.RATE_PLAN, 9, 3, true).key());
+                SCOPE.key(),
+                QuotaScope.of("c rate", PolicyFixtures.RATE_PLAN, 9, 3, true).key());
     }
 
     @Test
-    void hardLimitIsTheEvenPartRoundedDownAndStartsEmpty() {
+    void hardLimitIsTheEvenShareRoundedDownAndStartsEmpty() {
         QuotaPlan plan = new QuotaPlan("hard", 0, 0, 0, 1, 0, 1, 8, 10, 0);
-        HardLimit limit = HardLimit.of(QuotaHolder.of("c", plan, 4, 0, true), 0);
+        HardLimit limit = HardLimit.of(QuotaScope.of("c", plan, 4, 0, true), 0);
         assertTrue(limit.exists());
         assertFalse(limit.allows(1, 0));
         assertFalse(limit.allows(1, 499));
-        assertTrue(limit.allows(1, 500), "2 a second");
+        assertTrue(limit.allows(1, 500), "2 units a second");
         limit.spend(1);
         assertFalse(limit.allows(1, 500));
         assertTrue(limit.allows(2, 100_000));
-        assertFalse(limit.allows(3, 100_000), "10 / 4 is 2.5");
+        assertFalse(limit.allows(3, 100_000), "the burst is 10 / 4 rounded down");
     }
 
     @Test
     void planWithoutAHardLimitAllowsEverything() {
-        HardLimit limit = HardLimit.of(HOLDER, 0);
+        HardLimit limit = HardLimit.of(SCOPE, 0);
         assertFalse(limit.exists());
         limit.spend(1e9);
         assertTrue(limit.allows(1e9, 0));
@@ -78,7 +77,7 @@
         CreditBalance balance = new CreditBalance(false, 0, 0);
         balance.add(3);
         balance.accrue(5, 5);
-        assertEquals(5, balance.credits(), "up to the most");
+        assertEquals(5, balance.credits(), "up to the bound of 5");
         assertEquals(2, balance.unreported());
         assertEquals(0, balance.spend(3));
         assertEquals(1, balance.spend(1));
@@ -99,79 +98,79 @@
         balance.accrue(10, 6);
         assertEquals(6, balance.credits());
         balance.accrue(1, 2);
-        assertEquals(6, balance.credits(), "nothing is taken away");
+        assertEquals(6, balance.credits(), "existing credits are kept");
         assertEquals(0, balance.unreported());
     }
 
     @Test
-    void shareFollowsWhatWasTakenHere() {
-        ShareCalculator share = new ShareCalculator(HOLDER, 0);
+    void shareFollowsTheUnitsTaken() {
+        ShareCalculator share = new ShareCalculator(SCOPE, 0);
         assertEquals(0.25, share.share());
         share.record(7, 7, 0, 0);
         assertEquals((7 + 1 / 4.0) / (7 + 1), share.share(), 1e-9);
         share.record(0, 8, 0, 4000);
-        assertEquals((3.5 + 1 / 4.0) / (3.5 + 8 + 1), share.share(), 1e-9, "half is forgotten in 4 s");
+        assertEquals((3.5 + 1 / 4.0) / (3.5 + 8 + 1), share.share(), 1e-9, "the weight halves in 4 s");
         assertEquals(8 * Math.log(2) / 4000, share.othersUnitsPerMs(), 1e-12);
     }
 
     @Test
-    void moreThanOthersCanHaveTakenIsNotBelieved() {
-        ShareCalculator share = new ShareCalculator(HOLDER, 0);
+    void unitsTakenByOthersAreCappedAtThePossible() {
+        ShareCalculator share = new ShareCalculator(SCOPE, 0);
         share.record(0, 1e6, 0, 0);
-        assertEquals(8 * Math.log(2) / 4000, share.othersUnitsPerMs(), 1e-12, "a burst");
+        assertEquals(8 * Math.log(2) / 4000, share.othersUnitsPerMs(), 1e-12, "capped at a burst");
     }
 
     @Test
     void shareBecomesEvenWithoutReadings() {
-        ShareCalculator share = new ShareCalculator(HOLDER, 0);
+        ShareCalculator share = new ShareCalculator(SCOPE, 0);
         share.record(8, 8, 0, 0);
         for (int period = 0; period < 60; period++) {
-            share.driftToEven(250);
+            share.convergeToEvenShare(250);
         }
         assertEquals(0.25, share.share(), 1e-3);
     }
 
     @Test
     void estimatesRefillAtTheRateUpToTheBurst() {
-        StoreEstimate estimate = new StoreEstimate(HOLDER, new ShareCalculator(HOLDER, 0), 0);
+        BucketLevelEstimate estimate = new BucketLevelEstimate(SCOPE, new ShareCalculator(SCOPE, 0), 0);
         estimate.onReading(2, 0);
-        assertEquals(4, estimate.atMost(250));
-        assertEquals(8, estimate.atMost(10_000));
-        assertEquals(82, estimate.unboundedAfter(10_000));
-        assertEquals(2, estimate.lastAtMost());
+        assertEquals(4, estimate.upperBound(250));
+        assertEquals(8, estimate.upperBound(10_000));
+        assertEquals(82, estimate.uncappedLevelAfter(10_000));
+        assertEquals(2, estimate.lastUpperBound());
     }
 
     @Test
-    void otherGatewaysAreExpectedToGoOnTaking() {
-        ShareCalculator share = new ShareCalculator(HOLDER, 0);
-        StoreEstimate estimate = new StoreEstimate(HOLDER, share, 0);
+    void otherGatewaysAreExpectedToKeepTakingUnits() {
+        ShareCalculator share = new ShareCalculator(SCOPE, 0);
+        BucketLevelEstimate estimate = new BucketLevelEstimate(SCOPE, share, 0);
         estimate.onReading(2, 0);
-        share.record(0, 8, 0, 0); // the others took 8
-        double fill = 0.008 - 8 * Math.log(2) / 4000;
-        assertEquals(2 + fill * 250, estimate.expected(250), 1e-9);
+        share.record(0, 8, 0, 0); // the other gateways took 8 units
+        double netRefill = 0.008 - 8 * Math.log(2) / 4000;
+        assertEquals(2 + netRefill * 250, estimate.expected(250), 1e-9);
     }
 
     @Test
-    void unreportedSpendingIsTakenForThatOfAllGateways() {
-        StoreEstimate estimate = new StoreEstimate(HOLDER, new ShareCalculator(HOLDER, 0), 0);
+    void unreportedSpendingIsAssumedOfAllGateways() {
+        BucketLevelEstimate estimate = new BucketLevelEstimate(SCOPE, new ShareCalculator(SCOPE, 0), 0);
         estimate.onUnreportedSpending(1, 0);
-        assertEquals(7, estimate.atMost(0));
-        assertEquals(4, estimate.spendableUnasked(0), "each of four gateways one");
+        assertEquals(7, estimate.upperBound(0));
+        assertEquals(4, estimate.spendableWithoutCounter(0), "each of four gateways is assumed to have spent one unit");
     }
 
     @Test
-    void epochsHaveNamesOfTheirOwn() {
-        assertEquals(0, CounterEpoch.at(29_999));
-        assertEquals(1, CounterEpoch.at(30_000));
+    void eachEpochHasItsOwnNames() {
+        assertEquals(0, CounterEpoch.unitsEpochAt(29_999));
+        assertEquals(1, CounterEpoch.unitsEpochAt(30_000));
         assertEquals(30_000, CounterEpoch.startOf(1));
-        assertEquals(1, CounterEpoch.openCountAt(4000));
-        assertNotEquals(CounterEpoch.unitsName(5, 1), CounterEpoch.unitsName(5, 2));
-        assertNotEquals(CounterEpoch.unitsName(5, 1), CounterEpoch.openCountName(5, 1));
-        assertTrue(CounterEpoch.unitsName(-5, 1) >= 0);
+        assertEquals(1, CounterEpoch.openCountEpochAt(4000));
+        assertNotEquals(CounterEpoch.unitsTotalName(5, 1), CounterEpoch.unitsTotalName(5, 2));
+        assertNotEquals(CounterEpoch.unitsTotalName(5, 1), CounterEpoch.openCountName(5, 1));
+        assertTrue(CounterEpoch.unitsTotalName(-5, 1) >= 0);
     }
 
     @Test
-    void demandIsTheUsualNumberOfUnitsInAPeriod() {
+    void demandConvergesToTheUnitsPerPeriod() {
         DemandEstimator demand = new DemandEstimator();
         assertTrue(demand.isIdle());
         for (int period = 0; period < 100; period++) {
@@ -187,7 +186,7 @@
     }
 
     @Test
-    void valuesOfAKeyComeInTheirOrder() {
+    void valuesOfAKeyAreReturnedInInsertionOrder() {
         FifoMultimap<Long, String> values = new FifoMultimap<>();
         values.add(1L, "first");
         values.add(2L, "other");
--- a/src/test/java/quotagateway/policy/quota/QuotaFixture.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaFixture.java
@@ -12,9 +12,9 @@
 import quotagateway.policy.traffic.SendRateLimiter;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** What a quota needs around it, with requests as plain numbers. */
+/** Sets up the context of a quota for tests, with the waiting requests given as plain numbers. */
 final class QuotaFixture {
-    /** Requests that wait, all of one latest start. */
+    /** Waiting requests that all have the same units and latest start. */
     static final class Demand implements QuotaDemand {
         int requests;
         int units = 1;
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public double lastLatestStart() {
+        public double maxLatestStart() {
             return latestStart;
         }
 
@@ -50,7 +50,7 @@
     record Request(int units, double arrivedAt, double latestStart, boolean isClientRetry) implements QuotaRequest {}
 
     final EventClock clock = new EventClock(0);
-    final RecordingActions host = new RecordingActions();
+    final RecordingActions actions = new RecordingActions();
     final Demand demand = new Demand();
     final TrafficMeter traffic = new TrafficMeter();
     final CounterCalls calls;
@@ -58,10 +58,10 @@
 
     QuotaFixture(int gateways) {
         PolicySettings settings = PolicyFixtures.settings(gateways);
-        TimerQueue timers = new TimerQueue(clock, host);
+        TimerQueue timers = new TimerQueue(clock, actions);
         LatencyObjectives objectives = LatencyObjectives.of(settings.requestClasses());
         SendRateLimiter limiter = new SendRateLimiter(settings, objectives, clock, timers, traffic);
-        calls = new CounterCalls(host, clock, new CounterCallWindow(settings, clock, timers, new Random(1)));
+        calls = new CounterCalls(actions, clock, new CounterCallWindow(settings, clock, timers, new Random(1)));
         context = new QuotaContext(
                 settings,
                 objectives,
@@ -71,14 +71,14 @@
                 limiter,
                 traffic,
                 calls,
-                QuotaContext.newUsualGrant());
+                QuotaContext.newAverageGrantRatio());
     }
 
     CustomerQuota quota(QuotaPlan plan, int gateways) {
         return new CustomerQuota("c " + plan.name(), plan, gateways, 0, context, demand);
     }
 
-    /** A request of one unit that came now. */
+    /** Returns a request of one unit that arrives now. */
     Request request() {
         return new Request(1, clock.now(), clock.now() + 400, false);
     }
