--- a/src/main/java/quotagateway/policy/Policy.java
+++ b/src/main/java/quotagateway/policy/Policy.java
@@ -130,7 +130,7 @@
         resplit.resplit();
         if (traffic.periods() % RESPLITS_PER_CLEANUP == 0) {
             intake.evictIdleCustomers();
-            endpoints.forgetFormerMembers();
+            endpoints.evictFormerMembers();
         }
     }
 
@@ -159,7 +159,7 @@
     private void onListChanged(boolean complete) {
         endpoints.refresh(complete, traffic.attemptsInFlight());
         if (traffic.isWarmingUp() && endpoints.hasEndpointUp()) {
-            limiter.startWith(endpoints.upAndNotCordoned());
+            limiter.initializeRate(endpoints.uncordonedUpCount());
         }
         dispatcher.dispatch();
     }
@@ -173,7 +173,7 @@
     @Override
     public boolean setCordoned(double now, String endpoint, boolean cordoned) {
         beginEvent(now);
-        boolean known = cordons.set(endpoint, cordoned);
+        boolean known = cordons.setCordoned(endpoint, cordoned);
         if (known) {
             dispatcher.dispatch();
         }
@@ -194,7 +194,7 @@
 
     @Override
     public int unavailableEndpointCount(double now) {
-        return endpoints.unavailable(now);
+        return endpoints.unavailableCount(now);
     }
 
     // ---- requests ----
--- a/src/main/java/quotagateway/policy/admission/AttemptSender.java
+++ b/src/main/java/quotagateway/policy/admission/AttemptSender.java
@@ -59,7 +59,7 @@
     }
 
     private static double lateThresholdMs(PendingRequest request) {
-        return request.requestClass().latencyObjective() * SendRateLimiter.LATE_PART_OF_OBJECTIVE;
+        return request.requestClass().latencyObjective() * SendRateLimiter.LATE_OBJECTIVE_FRACTION;
     }
 
     private void checkIfLate(PendingRequest request) {
--- a/src/main/java/quotagateway/policy/admission/RequestIntake.java
+++ b/src/main/java/quotagateway/policy/admission/RequestIntake.java
@@ -67,7 +67,7 @@
         double objectiveMs = state.latency().requestClass().latencyObjective();
         double earlierWaitMs = state.waitEstimator().recordAndEstimateWait(incoming.clientTimeout());
         if (incoming.retry() || earlierWaitMs > 0) {
-            traffic.onRepeat();
+            traffic.onClientRetry();
         }
         double remainingObjectiveMs = objectiveMs - earlierWaitMs;
         boolean isWithinObjective = remainingObjectiveMs > 0;
--- a/src/main/java/quotagateway/policy/endpoint/Attempt.java
+++ b/src/main/java/quotagateway/policy/endpoint/Attempt.java
@@ -3,7 +3,10 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.health.ClassLatency;
 
-/** One try to have a request served by one endpoint. Opened and ended by its {@link Endpoint}. */
+/**
+ * One attempt to have a request served by one endpoint. {@link Endpoint#startAttempt} creates it and {@link #end} ends
+ * it.
+ */
 public final class Attempt {
     private final Endpoint endpoint;
     private final ClassLatency classLatency;
@@ -28,18 +31,18 @@
         return outcome == null;
     }
 
-    /** Whether the endpoint may have executed the request, or may be about to. */
+    /** Returns whether the endpoint may have executed the request or may still execute it. */
     public boolean mayHaveRun() {
         return outcome == null || !outcome.provesNotExecuted;
     }
 
-    /** The attempt has ended; called once. */
-    public void end(CallOutcome how) {
-        outcome = how;
+    /** Ends the attempt with its outcome. Called exactly once. */
+    public void end(CallOutcome finalOutcome) {
+        outcome = finalOutcome;
         endpoint.onAttemptEnded(this);
     }
 
-    /** The mean latency of the request's class. */
+    /** Returns the latency statistics of the request's class. */
     ClassLatency classLatency() {
         return classLatency;
     }
--- a/src/main/java/quotagateway/policy/endpoint/ConsistentHashRing.java
+++ b/src/main/java/quotagateway/policy/endpoint/ConsistentHashRing.java
@@ -4,20 +4,20 @@
 
 /**
  * Consistent hashing of endpoints and gateways onto a ring of buckets, one bucket for each gateway. All gateways
- * compute the same ring without a word exchanged.
+ * compute the same ring without exchanging messages.
  */
 public final class ConsistentHashRing {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** The multiplier of the paper's linear congruential generator. */
+    /** The multiplier of the linear congruential generator in the paper on jump consistent hash. */
     private static final long JUMP_MULTIPLIER = 2862933555777941757L;
 
     private ConsistentHashRing() {}
 
     /**
-     * The bucket of an endpoint, by jump consistent hash (Lamping and Veach, "A Fast, Minimal Memory, Consistent Hash
-     * Algorithm") over its id's FNV-1a hash: with one bucket more, only that bucket's part of the endpoints moves
-     * there.
+     * Returns the bucket of an endpoint: the jump consistent hash (Lamping and Veach, "A Fast, Minimal Memory,
+     * Consistent Hash Algorithm") of the FNV-1a hash of its id. An additional bucket moves only the endpoints that it
+     * takes over.
      */
     static int bucket(String id, int buckets) {
         long key = FNV_OFFSET;
@@ -35,9 +35,10 @@
     }
 
     /**
-     * The position of a gateway in the ring, by a shuffle that is the same everywhere: gateways with neighbouring
-     * numbers, as in one rack or zone, are far apart. It is made inside out, from the first gateway on, so that one
-     * gateway more changes the positions of two.
+     * Returns the position of a gateway in the ring. A shuffle with the same result on every gateway places gateways
+     * with adjacent numbers, such as the gateways of one rack or zone, far apart. The shuffle is built inside out,
+     * from the first gateway on, so that an additional gateway affects only two positions: its own and that of one
+     * other gateway.
      */
     public static int position(int gateway, int gateways) {
         int[] ring = new int[gateways];
--- a/src/main/java/quotagateway/policy/endpoint/Cordons.java
+++ b/src/main/java/quotagateway/policy/endpoint/Cordons.java
@@ -9,15 +9,22 @@
 import quotagateway.policy.timer.TimerQueue;
 
 /**
- * Endpoints that operators cordon: nothing new goes there, whatever the lists say, until the cordon is taken off. The
- * endpoint may have restarted meanwhile, so it is in slow start then, and gets a first request soon.
+ * Manages the endpoints that operators have cordoned. A cordoned endpoint gets no new attempts, independent of what
+ * the endpoint lists say, until it is uncordoned. Its process may have restarted in the meantime, so an uncordoned
+ * endpoint is in slow start and gets a first request soon.
  */
 public final class Cordons {
-    /** An uncordoned endpoint gets its first request after a random time between these two. */
+    /** Minimum delay of the first request to an uncordoned endpoint; the actual delay is random. */
     private static final double MIN_FIRST_REQUEST_DELAY_MS = 300;
-    /** Operators expect to see it used within 5 s; gateways must not all come at once. */
+    /**
+     * Maximum delay in a small fleet. Operators expect to see the endpoint used within 5 s; the delay is random so
+     * that the gateways do not all send their first request simultaneously.
+     */
     private static final double MAX_FIRST_REQUEST_DELAY_MS = 3500;
-    /** Many gateways take longer than that: about so many of them come within the rules' window. */
+    /**
+     * In a large fleet the delays are spread further, so that about this many first requests arrive in each overload
+     * window of the rules.
+     */
     private static final double FIRST_REQUESTS_PER_WINDOW = 2;
 
     private final PolicySettings settings;
@@ -45,8 +52,11 @@
         this.random = random;
     }
 
-    /** Cordons or uncordons an endpoint; false where neither a list nor an operator has ever named it. */
-    public boolean set(String id, boolean cordoned) {
+    /**
+     * Cordons or uncordons an endpoint. Returns false, without effect, if no list has named the endpoint and it is not
+     * cordoned.
+     */
+    public boolean setCordoned(String id, boolean cordoned) {
         Endpoint endpoint = endpoints.find(id);
         if (endpoint == null || (endpoint.descriptor() == null && !endpoint.isCordoned())) {
             return false;
@@ -55,7 +65,7 @@
         return true;
     }
 
-    /** Cordons these endpoints, those too that no list has named yet, and uncordons all others. */
+    /** Cordons these endpoints, including the ones that no list has named yet, and uncordons all others. */
     public void replace(Set<String> ids) {
         for (String id : ids) {
             apply(endpoints.findOrCreate(id), true);
@@ -74,20 +84,20 @@
         if (cordoned) {
             actions.withdrawQueuedAttempts(endpoint.id());
         } else {
-            recover(endpoint);
+            onUncordoned(endpoint);
         }
     }
 
-    private void recover(Endpoint endpoint) {
+    private void onUncordoned(Endpoint endpoint) {
         double now = clock.now();
-        endpoint.forgetFormerProcess();
+        endpoint.resetLearnedState();
         endpoint.outlierDetector().reset();
         endpoints.startSlowStart(endpoint, now);
-        double windows = settings.nodeCount() * settings.rules().overloadWindow() / FIRST_REQUESTS_PER_WINDOW;
-        double budgetIntervalMs = 1 / slowStartRate.sendsPerMs(endpoint.ramp().warmupFraction(now));
-        double spread =
-                Math.max(MAX_FIRST_REQUEST_DELAY_MS - MIN_FIRST_REQUEST_DELAY_MS, Math.min(windows, budgetIntervalMs));
-        double firstRequestAt = now + MIN_FIRST_REQUEST_DELAY_MS + spread * random.nextDouble();
+        double fleetSpreadMs = settings.nodeCount() * settings.rules().overloadWindow() / FIRST_REQUESTS_PER_WINDOW;
+        double sendIntervalMs = 1 / slowStartRate.sendsPerMs(endpoint.ramp().warmupFraction(now));
+        double spreadMs = Math.max(
+                MAX_FIRST_REQUEST_DELAY_MS - MIN_FIRST_REQUEST_DELAY_MS, Math.min(fleetSpreadMs, sendIntervalMs));
+        double firstRequestAt = now + MIN_FIRST_REQUEST_DELAY_MS + spreadMs * random.nextDouble();
         endpoint.ramp().expectFirstRequestAt(firstRequestAt);
         timers.scheduleWakeUp(firstRequestAt);
     }
--- a/src/main/java/quotagateway/policy/endpoint/DiscoverySubscription.java
+++ b/src/main/java/quotagateway/policy/endpoint/DiscoverySubscription.java
@@ -5,11 +5,14 @@
 import quotagateway.policy.timer.EventClock;
 import quotagateway.policy.timer.TimerQueue;
 
-/** Subscribes to endpoint lists where that is asked for, and again after failures, with exponential backoff. */
+/**
+ * Subscribes to endpoint lists, if lists come only on subscription, and subscribes again after failures, with
+ * exponential backoff.
+ */
 public final class DiscoverySubscription {
-    /** Mean time to the second subscription after a first failure. */
+    /** Mean delay of the second subscription after a first failure. */
     private static final double INITIAL_BACKOFF_MS = 1000;
-    /** With its spread it is 12 s at the most. */
+    /** Upper bound of the mean delay. With its random spread a delay is at most 12 s. */
     private static final double MAX_BACKOFF_MS = 8000;
 
     private final boolean required;
@@ -19,7 +22,7 @@
     private final Random random;
     private double backoffMs = INITIAL_BACKOFF_MS;
 
-    /** @param required whether lists come only when subscribed to; if not, this does nothing */
+    /** @param required whether lists come only on subscription; if false, this class does nothing */
     public DiscoverySubscription(
             boolean required, EventClock clock, TimerQueue timers, PolicyActions actions, Random random) {
         this.required = required;
@@ -35,10 +38,13 @@
         }
     }
 
-    /** The subscription has failed or ended. The backoff is never reset: lists that come do not end it. */
+    /**
+     * Schedules another subscription after one has failed or ended. The backoff is never reset, not even when lists
+     * arrive.
+     */
     public void onFailed() {
         if (required) {
-            double delayMs = backoffMs * (0.5 + random.nextDouble()); // gateways must not all come at once
+            double delayMs = backoffMs * (0.5 + random.nextDouble()); // spreads the gateways' subscriptions over time
             timers.schedule(clock.now() + delayMs, actions::subscribeToEndpoints);
             backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
         }
--- a/src/main/java/quotagateway/policy/endpoint/Endpoint.java
+++ b/src/main/java/quotagateway/policy/endpoint/Endpoint.java
@@ -10,23 +10,25 @@
 import quotagateway.policy.health.FailureEstimator;
 import quotagateway.policy.health.LatencyEstimator;
 import quotagateway.policy.health.OutlierDetector;
-import quotagateway.policy.slowstart.RecoveryRamp;
 import quotagateway.policy.slowstart.SlowStartBudget;
+import quotagateway.policy.slowstart.SlowStartRamp;
 
 /**
- * An endpoint as one gateway knows it: its descriptor, the attempts that it has in flight there, and what the gateway
- * has learned of it. Each estimate is kept by a class of its own.
+ * An endpoint as seen by one gateway: its descriptor, the gateway's attempts in flight there, and the estimates that
+ * the gateway has made from past attempts. Each estimate is kept by a class of its own.
  */
 public final class Endpoint {
     private final String id;
-    private final Set<Attempt> inFlight = new LinkedHashSet<>(); // the oldest first
+    private final Set<Attempt> inFlight = new LinkedHashSet<>(); // oldest first
     private final LatencyEstimator latency = new LatencyEstimator();
     private final FailureEstimator failures = new FailureEstimator();
     private final OutlierDetector outlierDetector = new OutlierDetector();
     private final ConcurrencyLimit concurrencyLimit;
-    private final RecoveryRamp ramp;
+    private final SlowStartRamp ramp;
     private final SlowStartBudget slowStartBudget;
-    /** The size of the set, which is read for every endpoint in every choice. */
+    /**
+     * The size of {@link #inFlight}, in a field of its own because every routing decision reads it for every endpoint.
+     */
     private int inFlightCount;
 
     private EndpointDescriptor descriptor;
@@ -36,7 +38,7 @@
     Endpoint(String id, ServiceRules rules, double meanObjectiveMs) {
         this.id = id;
         concurrencyLimit = new ConcurrencyLimit(meanObjectiveMs);
-        ramp = new RecoveryRamp(rules);
+        ramp = new SlowStartRamp(rules);
         slowStartBudget = new SlowStartBudget(rules);
     }
 
@@ -44,13 +46,15 @@
         return id;
     }
 
-    /** What a list last said of it; null for one that was cordoned before any list has named it. */
+    /**
+     * Returns the most recent descriptor from a list, or null if the endpoint was cordoned before any list named it.
+     */
     public EndpointDescriptor descriptor() {
         return descriptor;
     }
 
-    /** A list names the endpoint anew; returns whether another process is listed than before. */
-    boolean describe(EndpointDescriptor listed) {
+    /** Stores a descriptor from a list. Returns whether it describes a later process than the previous descriptor. */
+    boolean updateDescriptor(EndpointDescriptor listed) {
         boolean restarted = descriptor != null && listed.startedAt() > descriptor.startedAt();
         descriptor = listed;
         return restarted;
@@ -64,7 +68,7 @@
         cordoned = newState;
     }
 
-    /** Begins an attempt there. */
+    /** Starts an attempt at this endpoint. */
     public Attempt startAttempt(ClassLatency classLatency, double now) {
         Attempt attempt = new Attempt(this, classLatency, now);
         inFlight.add(attempt);
@@ -84,7 +88,10 @@
         return inFlightCount;
     }
 
-    /** Slowness by the responses so far, or what the oldest attempt in flight already shows. */
+    /**
+     * Returns the slowness according to past responses or to the age of the oldest attempt in flight, whichever is
+     * greater.
+     */
     public double slowness(double now) {
         double slowness = latency.slowness(now);
         if (inFlightCount > 0) {
@@ -95,9 +102,9 @@
         return slowness;
     }
 
-    /** Whether the concurrency limit allows another attempt; on trial there is one at a time. */
+    /** Returns whether the concurrency limit allows another attempt; on probation only one may be in flight. */
     public boolean hasCapacity(double now) {
-        return (inFlightCount == 0 || !outlierDetector.isOnTrial())
+        return (inFlightCount == 0 || !outlierDetector.isOnProbation())
                 && concurrencyLimit.allowsAnother(inFlightCount, now);
     }
 
@@ -105,7 +112,10 @@
         return outlierDetector.isEjected(now);
     }
 
-    /** Its process has started at this time and is to be spared, with a first send due after a random while. */
+    /**
+     * Puts the endpoint into slow start because its process started at {@code startedAt}. Unless the endpoint is in
+     * slow start already, its first send becomes due after a random delay.
+     */
     void startSlowStart(double startedAt, double now, Random random) {
         if (ramp.isWarm(now)) {
             slowStartBudget.restart(random.nextDouble(), now);
@@ -113,8 +123,10 @@
         ramp.start(startedAt);
     }
 
-    /** Nothing that was learned of the process before holds for the one that is there now. */
-    void forgetFormerProcess() {
+    /**
+     * Discards the latency, failure and ejection state, which describes the previous process and not the current one.
+     */
+    void resetLearnedState() {
         outlierDetector.onNewProcess();
         latency.reset();
         failures.reset();
@@ -136,7 +148,7 @@
         return concurrencyLimit;
     }
 
-    public RecoveryRamp ramp() {
+    public SlowStartRamp ramp() {
         return ramp;
     }
 
--- a/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
@@ -11,15 +11,16 @@
 import quotagateway.policy.api.EndpointState;
 
 /**
- * What the endpoint lists say of every endpoint, in some 140 bytes each: of 200,000 a gateway uses few. It is a
- * container and decides nothing. Endpoints stand by their bucket of the {@link ConsistentHashRing}, and are found by
- * id, by bucket and by cell at a cost that does not grow with the list.
+ * Stores what the endpoint lists say about each endpoint, in about 140 bytes per endpoint, because a gateway uses only
+ * a few of up to 200,000 endpoints. The catalog is a container and makes no decisions. Endpoints are ordered by their
+ * bucket of the {@link ConsistentHashRing}, and are found by id, by bucket and by cell at a cost that does not grow
+ * with the list.
  *
- * <p>It is a hash table with chains, and a second one by cell, in place of maps: an entry is its own node in both, and
- * the table's slots are ordered by bucket, so that a bucket is a range of slots.
+ * <p>In place of maps the catalog has two hash tables with chaining, one by id and one by cell: an entry is its own
+ * chain node in both. The slots of the table by id are ordered by bucket, so that a bucket is a range of slots.
  */
 public final class EndpointCatalog {
-    /** An endpoint as the list names it, in the smallest form; its state is REMOVED once it is no longer listed. */
+    /** An endpoint as the list describes it, in compact form; its state is REMOVED once it is no longer listed. */
     private static final class Entry {
         final String id;
         final int cell;
@@ -47,74 +48,79 @@
         }
     }
 
-    /** Removed entries stay in their cell's chain until they are more than this and the part below. */
+    /** Removed entries stay in the cell table until they are more than this number plus the fraction below. */
     private static final int MIN_REMOVED_FOR_REBUILD = 64;
-    /** One in so many of all entries. */
-    private static final int REMOVED_PART_DIVISOR = 16;
-    /** Zones and kinds are few: past this number they are no names that come again. */
-    private static final int MAX_SHARED_WORDS = 4096;
+    /** The fraction of removed entries is one in this many of all entries. */
+    private static final int REMOVED_ENTRIES_DIVISOR = 16;
+    /**
+     * Zones and kinds have few distinct values. Beyond this number, new values are not expected to recur and are not
+     * interned.
+     */
+    private static final int MAX_INTERNED_STRINGS = 4096;
     /** 2^32 divided by the golden ratio. */
     private static final int FIBONACCI_MULTIPLIER = 0x9e3779b9;
 
     private final int bucketCount;
-    private final Map<String, String> sharedWords = new HashMap<>();
-    /** Chains by bucket, a power of two of them for each bucket, told apart by the id's hash. */
+    private final Map<String, String> internedStrings = new HashMap<>();
+    /** The chains by id, ordered by bucket. Each bucket has a power of two of slots; the hash of the id selects one. */
     private Entry[] table;
 
-    private Entry[] cells = new Entry[1];
+    private Entry[] cellTable = new Entry[1];
     private int size;
     private int upCount;
-    private int removedInCells;
-    /** The number of the list that names entries at present: entries of an older one were not named by it. */
+    private int removedInCellTable;
+    /** The number of the current list. An entry with a lower number has not been named by this list. */
     private int generation;
 
-    private boolean listOpen;
-    private boolean listEverCompleted;
+    private boolean listInProgress;
+    private boolean firstListCompleted;
 
-    /** @param bucketCount buckets of the ring, one for each gateway */
+    /** @param bucketCount number of buckets of the ring, one for each gateway */
     public EndpointCatalog(int bucketCount) {
         this.bucketCount = bucketCount;
         table = new Entry[bucketCount];
     }
 
-    /** How many endpoints the list has, draining ones included. */
+    /** Returns the number of listed endpoints, including draining ones. */
     public int size() {
         return size;
     }
 
-    /** How many of them are up. */
+    /** Returns the number of listed endpoints that are up. */
     public int upCount() {
         return upCount;
     }
 
-    /** A complete list begins that may come in parts; one that was begun and not ended removes nothing. */
+    /** Begins a complete list, which may arrive in parts. A list that is begun and never ended removes nothing. */
     public void beginList() {
         generation++;
-        listOpen = true;
+        listInProgress = true;
     }
 
-    /** Whether the first list has begun and not ended: its length is not known yet. */
+    /** Returns whether the first list has begun and not ended, so that its length is not known yet. */
     boolean isFirstListIncomplete() {
-        return listOpen && !listEverCompleted;
+        return listInProgress && !firstListCompleted;
     }
 
-    /** The list that was begun has ended: what it did not name is removed. Without a list begun nothing happens. */
+    /**
+     * Ends the list that was begun and removes the endpoints that it did not name. Does nothing if no list was begun.
+     */
     public void endList() {
-        if (!listOpen) {
+        if (!listInProgress) {
             return;
         }
         for (Entry head : table) {
             chain(head).filter(entry -> entry.generation != generation).forEach(this::remove);
         }
-        listOpen = false;
-        listEverCompleted = true;
+        listInProgress = false;
+        firstListCompleted = true;
     }
 
     private static Stream<Entry> chain(Entry head) {
         return Stream.iterate(head, Objects::nonNull, entry -> entry.next);
     }
 
-    /** The endpoint of this id as the list has it, or null. */
+    /** Returns the endpoint of this id as listed, or null if it is not listed. */
     public EndpointDescriptor get(String id) {
         Entry entry = find(id);
         return entry == null ? null : entry.descriptor();
@@ -133,7 +139,7 @@
         return entry;
     }
 
-    /** Takes a complete list, or changes of one, or a part. */
+    /** Applies a complete list, a part of a list, or changes to a list. */
     public void update(List<EndpointDescriptor> endpoints, boolean complete) {
         if (complete) {
             beginList();
@@ -155,29 +161,31 @@
         }
         if (entry == null) {
             entry = new Entry(listed.id(), listed.cell());
-            if (++size > table.length || removedInCells > MIN_REMOVED_FOR_REBUILD + size / REMOVED_PART_DIVISOR) {
+            if (++size > table.length
+                    || removedInCellTable > MIN_REMOVED_FOR_REBUILD + size / REMOVED_ENTRIES_DIVISOR) {
                 rebuild();
             }
             link(entry);
         }
         upCount += (listed.state() == EndpointState.UP ? 1 : 0) - (entry.isUp() ? 1 : 0);
         entry.state = listed.state();
-        entry.zone = shared(listed.zone());
-        entry.kind = shared(listed.kind());
+        entry.zone = intern(listed.zone());
+        entry.kind = intern(listed.kind());
         entry.startedAt = listed.startedAt();
         entry.weight = listed.weight();
         entry.address = listed.address();
         entry.generation = generation;
     }
 
-    /** One object for all equal words: each list is parsed anew. */
-    private String shared(String word) {
-        String known =
-                sharedWords.size() < MAX_SHARED_WORDS ? sharedWords.putIfAbsent(word, word) : sharedWords.get(word);
-        return known == null ? word : known;
+    /** Returns one instance for all equal strings, because the parser creates new strings for each list. */
+    private String intern(String value) {
+        String interned = internedStrings.size() < MAX_INTERNED_STRINGS
+                ? internedStrings.putIfAbsent(value, value)
+                : internedStrings.get(value);
+        return interned == null ? value : interned;
     }
 
-    /** Takes the entry out of its chain by id; that of its cell keeps it until the next rebuild. */
+    /** Removes the entry from the chain by id; the cell table keeps it until the next rebuild. */
     private void remove(Entry entry) {
         upCount -= entry.isUp() ? 1 : 0;
         entry.state = EndpointState.REMOVED;
@@ -185,14 +193,14 @@
         if (table[slot] == entry) {
             table[slot] = entry.next;
         } else {
-            Entry before = table[slot];
-            while (before.next != entry) {
-                before = before.next;
+            Entry previous = table[slot];
+            while (previous.next != entry) {
+                previous = previous.next;
             }
-            before.next = entry.next;
+            previous.next = entry.next;
         }
         size--;
-        removedInCells++;
+        removedInCellTable++;
     }
 
     private void link(Entry entry) {
@@ -200,21 +208,21 @@
         entry.next = table[slot];
         table[slot] = entry;
         int cellSlot = cellSlot(entry.cell);
-        entry.nextInCell = cells[cellSlot];
-        cells[cellSlot] = entry;
+        entry.nextInCell = cellTable[cellSlot];
+        cellTable[cellSlot] = entry;
     }
 
-    /** Makes room for more entries, and drops removed ones from the chains of their cells. */
+    /** Makes room for more entries, and drops removed entries from the cell table. */
     private void rebuild() {
-        Entry[] old = table;
+        Entry[] oldTable = table;
         int slotsPerBucket = 1;
         while ((long) slotsPerBucket * bucketCount < size) {
             slotsPerBucket *= 2;
         }
         table = new Entry[slotsPerBucket * bucketCount];
-        cells = new Entry[2 * Integer.highestOneBit(size)];
-        removedInCells = 0;
-        for (Entry head : old) {
+        cellTable = new Entry[2 * Integer.highestOneBit(size)];
+        removedInCellTable = 0;
+        for (Entry head : oldTable) {
             for (Entry entry = head; entry != null; ) {
                 Entry next = entry.next;
                 link(entry);
@@ -226,20 +234,20 @@
     private int slot(String id) {
         int slotsPerBucket = table.length / bucketCount;
         return ConsistentHashRing.bucket(id, bucketCount) * slotsPerBucket
-                + (spread(id.hashCode()) & (slotsPerBucket - 1));
+                + (fibonacciHash(id.hashCode()) & (slotsPerBucket - 1));
     }
 
     private int cellSlot(int cell) {
-        return spread(cell) & (cells.length - 1);
+        return fibonacciHash(cell) & (cellTable.length - 1);
     }
 
-    /** Fibonacci hashing (Knuth): numbers in a row do not meet. */
-    private static int spread(int hash) {
+    /** Fibonacci hashing (Knuth), under which consecutive numbers do not collide. */
+    private static int fibonacciHash(int hash) {
         int product = hash * FIBONACCI_MULTIPLIER;
         return product ^ (product >>> 16);
     }
 
-    /** The endpoints of these buckets that are up. */
+    /** Returns the endpoints of these buckets that are up. */
     public Stream<EndpointDescriptor> inBuckets(IntStream buckets) {
         int slotsPerBucket = table.length / bucketCount;
         return buckets.boxed()
@@ -249,9 +257,9 @@
                 .map(Entry::descriptor);
     }
 
-    /** The endpoints of a cell that are up. */
+    /** Returns the endpoints of a cell that are up. */
     public Stream<EndpointDescriptor> inCell(int cell) {
-        return Stream.iterate(cells[cellSlot(cell)], Objects::nonNull, entry -> entry.nextInCell)
+        return Stream.iterate(cellTable[cellSlot(cell)], Objects::nonNull, entry -> entry.nextInCell)
                 .filter(entry -> entry.cell == cell && entry.isUp())
                 .map(Entry::descriptor);
     }
--- a/src/main/java/quotagateway/policy/endpoint/EndpointRegistry.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointRegistry.java
@@ -18,13 +18,16 @@
 import quotagateway.policy.timer.EventClock;
 
 /**
- * The endpoints that this gateway knows: all that the lists name ({@link EndpointCatalog}); of those the ones that were
- * used or cordoned, with what was learned of them; and of those the members, which are up, in the gateway's
- * {@link EndpointSubset} and not cordoned. New requests go to members; the host is told who becomes one and who is no
- * longer in use.
+ * Keeps track of the endpoints that this gateway knows. The {@link EndpointCatalog} has all listed endpoints. For the
+ * endpoints that were used or cordoned, the registry keeps an {@link Endpoint} with its estimates. The members are the
+ * known endpoints that are up, in the gateway's {@link EndpointSubset} and not cordoned: new requests go to members,
+ * and the host is notified when an endpoint becomes a member and when it is no longer in use.
  */
 public final class EndpointRegistry {
-    /** Of so many endpoints that are no members any more the state is kept: after a release they come back. */
+    /**
+     * Number of endpoints whose state is kept although they are no longer members, because they return after a
+     * release.
+     */
     private static final int MAX_FORMER_MEMBERS = 256;
 
     private final PolicySettings settings;
@@ -57,59 +60,62 @@
 
     // ---- lists ----
 
-    /** A complete list, or changes or a part of one. {@link #refresh} has to follow. */
+    /** Applies a complete list, a part of a list, or changes to a list. {@link #refresh} must follow. */
     public void update(List<EndpointDescriptor> endpoints, boolean complete) {
         catalog.update(endpoints, complete);
         for (EndpointDescriptor listed : endpoints) {
             if (known.containsKey(listed.id()) || (listed.state() == EndpointState.UP && subset.covers(listed.id()))) {
-                describe(listed);
+                updateDescriptor(listed);
             }
         }
     }
 
-    /** A complete list begins that comes in parts. */
+    /** Begins a complete list that arrives in parts. */
     public void beginList() {
         catalog.beginList();
     }
 
-    /** The list that was begun has ended. {@link #refresh} has to follow. */
+    /** Ends the list that was begun. {@link #refresh} must follow. */
     public void endList() {
         catalog.endList();
     }
 
-    /** After a change of the list. What a complete list doesn't name is no member, but what was learned is kept. */
+    /**
+     * Updates members and subset after a change to the list. An endpoint that a complete list does not name is no
+     * longer a member, but its state is kept.
+     */
     public void refresh(boolean complete, double attemptsInFlight) {
         if (complete) {
             updateMembers();
         }
-        fitSubset(attemptsInFlight);
+        resizeSubset(attemptsInFlight);
     }
 
     /** Called at every re-split, with the mean number of attempts in flight. */
     public void endPeriod(double attemptsInFlight) {
-        fitSubset(attemptsInFlight);
+        resizeSubset(attemptsInFlight);
         fleetSize.endPeriod(members.size());
     }
 
-    /** The subset follows the load, given as the mean number of attempts in flight, and the list. */
-    private void fitSubset(double attemptsInFlight) {
+    /** Adapts the subset to the list and to the load, given as the mean number of attempts in flight. */
+    private void resizeSubset(double attemptsInFlight) {
         int before = subset.bucketCount();
-        subset.fit(clock.now(), attemptsInFlight, (double) (members.size() - ejectedMembers()));
+        subset.resize(clock.now(), attemptsInFlight, (double) (members.size() - ejectedMemberCount()));
         if (subset.bucketCount() < before) {
             updateMembers();
         }
-        catalog.inBuckets(subset.buckets(before, subset.bucketCount())).forEach(this::describe);
+        catalog.inBuckets(subset.buckets(before, subset.bucketCount())).forEach(this::updateDescriptor);
     }
 
-    private Endpoint describe(EndpointDescriptor listed) {
+    private Endpoint updateDescriptor(EndpointDescriptor listed) {
         Endpoint endpoint = getOrCreate(listed.id());
-        boolean restarted = endpoint.describe(listed);
+        boolean restarted = endpoint.updateDescriptor(listed);
         double startedAt = listed.startedAt();
         if (startedAt > 0 && startedAt + settings.rules().slowStartDuration() > clock.now()) {
             startSlowStart(endpoint, startedAt);
         }
         if (restarted) {
-            endpoint.forgetFormerProcess();
+            endpoint.resetLearnedState();
         }
         updateMembership(endpoint);
         return endpoint;
@@ -121,7 +127,10 @@
         List.copyOf(members.values()).forEach(this::updateMembership);
     }
 
-    /** Makes the endpoint a member or none. It is let go when it has no attempt in flight. */
+    /**
+     * Adds the endpoint to the members or removes it. An endpoint that is not a member is released when it has no
+     * attempt in flight.
+     */
     public void updateMembership(Endpoint endpoint) {
         String id = endpoint.id();
         if (!endpoint.isCordoned() && catalog.isUp(id) && subset.covers(id)) {
@@ -137,15 +146,18 @@
         }
     }
 
-    /** An attempt is about to be sent there: the host has to be connected also to one that is no member. */
+    /**
+     * Called before an attempt is sent to the endpoint. The host has to connect to the endpoint even if it is not a
+     * member.
+     */
     public void retainForAttempt(Endpoint endpoint) {
         if (!members.containsKey(endpoint.id())) {
             actions.retainEndpoint(endpoint.descriptor());
         }
     }
 
-    /** Called now and then: forgets endpoints that are not in use, beyond a number that may come back. */
-    public void forgetFormerMembers() {
+    /** Evicts endpoints that are not in use, except for a number of endpoints that may return. Called periodically. */
+    public void evictFormerMembers() {
         known.values()
                 .removeIf(endpoint -> known.size() > members.size() + MAX_FORMER_MEMBERS
                         && endpoint.inFlight() == 0
@@ -153,20 +165,20 @@
                         && !members.containsKey(endpoint.id()));
     }
 
-    /** The process there has started at this time, or may have. */
+    /** Puts an endpoint into slow start because its process started, or may have started, at this time. */
     public void startSlowStart(Endpoint endpoint, double startedAt) {
         endpoint.startSlowStart(startedAt, clock.now(), random);
     }
 
     // ---- look-up ----
 
-    /** The endpoint of this id if it was used or cordoned before or a list has it, or null. */
+    /** Returns the endpoint of this id, or null if it was neither used nor cordoned before and is not listed. */
     public Endpoint find(String id) {
         EndpointDescriptor listed = known.containsKey(id) ? null : catalog.get(id);
-        return listed == null ? known.get(id) : describe(listed);
+        return listed == null ? known.get(id) : updateDescriptor(listed);
     }
 
-    /** As {@link #find}, and one that no list has named yet is made. */
+    /** As {@link #find}, but creates the endpoint if no list has named it yet. */
     Endpoint findOrCreate(String id) {
         Endpoint found = find(id);
         return found == null ? getOrCreate(id) : found;
@@ -176,7 +188,7 @@
         return known.computeIfAbsent(id, key -> new Endpoint(key, settings.rules(), objectives.meanMs()));
     }
 
-    /** The members in the order of their ids. */
+    /** Returns the members ordered by id. */
     public Collection<Endpoint> members() {
         return members.values();
     }
@@ -185,33 +197,36 @@
         return known.values();
     }
 
-    /** Endpoints that are up, outside the subset, in one cell or anywhere: {@code near} tells which cell. */
+    /**
+     * Returns the endpoints outside the subset among the first {@code limit} candidates that are up: the endpoints in
+     * the cell of {@code near} for the scope CELL, the endpoints of all unused buckets otherwise.
+     */
     public Stream<EndpointDescriptor> outsideSubset(RetryScope scope, EndpointDescriptor near, int limit) {
-        IntStream uncovered = subset.buckets(subset.bucketCount(), settings.nodeCount());
-        return (scope == RetryScope.CELL ? catalog.inCell(near.cell()) : catalog.inBuckets(uncovered))
+        IntStream unusedBuckets = subset.buckets(subset.bucketCount(), settings.nodeCount());
+        return (scope == RetryScope.CELL ? catalog.inCell(near.cell()) : catalog.inBuckets(unusedBuckets))
                 .limit(limit)
                 .filter(listed -> !subset.covers(listed.id()));
     }
 
     // ---- counts ----
 
-    /** Whether so many members would still be left with one more ejected: never less than half. */
-    public boolean canSpareOneMore() {
-        return 2 * ejectedMembers() + 2 <= members.size();
+    /** Returns whether at least half of the members would be left if one more were ejected. */
+    public boolean canEjectOneMore() {
+        return 2 * ejectedMemberCount() + 2 <= members.size();
     }
 
-    private long ejectedMembers() {
+    private long ejectedMemberCount() {
         double now = clock.now();
         return members.values().stream().filter(member -> member.isEjected(now)).count();
     }
 
-    /** Endpoints that the list has, draining ones included. */
+    /** Returns the number of listed endpoints, including draining ones. */
     public int size() {
         return catalog.size();
     }
 
-    /** Endpoints that the list has as up and that are not cordoned. */
-    public long upAndNotCordoned() {
+    /** Returns the number of listed endpoints that are up and not cordoned. */
+    public long uncordonedUpCount() {
         return catalog.upCount()
                 - known.values().stream()
                         .filter(endpoint -> endpoint.isCordoned() && catalog.isUp(endpoint.id()))
@@ -222,8 +237,11 @@
         return catalog.upCount() > 0;
     }
 
-    /** Endpoints of the list that get nothing new: draining, cordoned or ejected at this time. */
-    public int unavailable(double now) {
+    /**
+     * Returns the number of listed endpoints that get no new requests because they are draining, cordoned or ejected
+     * at this time.
+     */
+    public int unavailableCount(double now) {
         long cordonedOrEjected = known.values().stream()
                 .filter(endpoint -> catalog.isUp(endpoint.id()) && (endpoint.isCordoned() || endpoint.isEjected(now)))
                 .count();
--- a/src/main/java/quotagateway/policy/endpoint/package-info.java
+++ b/src/main/java/quotagateway/policy/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Which endpoints there are, which of them this gateway uses, and what it knows of each. */
+/** The listed endpoints, the subset of them that this gateway uses, and the state that it keeps for each. */
 package quotagateway.policy.endpoint;
--- a/src/main/java/quotagateway/policy/hash/SplitMix64.java
+++ b/src/main/java/quotagateway/policy/hash/SplitMix64.java
@@ -1,10 +1,13 @@
 package quotagateway.policy.hash;
 
-/** The finisher of the generator SplitMix64 (Steele, Lea and Flood), as a hash of numbers. */
+/** The finalizer of the generator SplitMix64 (Steele, Lea and Flood), used as a hash function for numbers. */
 public final class SplitMix64 {
     private SplitMix64() {}
 
-    /** Spreads the bits of a number over all 64: numbers that differ in one bit differ in half of theirs. */
+    /**
+     * Mixes the bits of a number: inputs that differ in one bit give outputs that differ in about half of their 64
+     * bits.
+     */
     public static long mix(long number) {
         long z = number;
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/quotagateway/policy/hash/package-info.java
+++ b/src/main/java/quotagateway/policy/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hashes that all gateways compute alike. */
+/** Hash functions with the same results on all gateways. */
 package quotagateway.policy.hash;
--- a/src/main/java/quotagateway/policy/health/ClassLatency.java
+++ b/src/main/java/quotagateway/policy/health/ClassLatency.java
@@ -6,19 +6,22 @@
 import quotagateway.policy.statistics.Ewma;
 
 /**
- * How long responses of a request class take, over all endpoints. Endpoints are judged by this mean, so it moves
- * slowly.
+ * Tracks the mean latency of the responses of a request class, over all endpoints. Endpoints are compared with this
+ * mean, so it changes slowly.
  */
 public final class ClassLatency {
-    /** Until seen: a latency objective leaves time for a queue, a retry and the network. */
-    private static final double INITIAL_PART_OF_OBJECTIVE = 1.0 / 8;
+    /**
+     * Mean latency before the first response, as a fraction of the latency objective. The objective leaves time for
+     * queueing, a retry and the network.
+     */
+    private static final double INITIAL_OBJECTIVE_FRACTION = 1.0 / 8;
 
     private final RequestClass requestClass;
     private final Ewma meanMs;
 
     public ClassLatency(RequestClass requestClass) {
         this.requestClass = requestClass;
-        meanMs = new Ewma(SLOW_EWMA_WEIGHT, requestClass.latencyObjective() * INITIAL_PART_OF_OBJECTIVE);
+        meanMs = new Ewma(SLOW_EWMA_WEIGHT, requestClass.latencyObjective() * INITIAL_OBJECTIVE_FRACTION);
     }
 
     public RequestClass requestClass() {
@@ -29,12 +32,12 @@
         return meanMs.value();
     }
 
-    /** A response took so long. */
+    /** Records the latency of a response. */
     public void record(double tookMs) {
         meanMs.add(tookMs);
     }
 
-    /** An attempt ended without a response after so long: it would have taken longer. */
+    /** Records an attempt that ended without a response after this time; a response would have taken longer. */
     public void recordAtLeast(double tookMs) {
         meanMs.add(Math.max(meanMs(), tookMs));
     }
--- a/src/main/java/quotagateway/policy/health/ConcurrencyLimit.java
+++ b/src/main/java/quotagateway/policy/health/ConcurrencyLimit.java
@@ -1,19 +1,26 @@
 package quotagateway.policy.health;
 
 /**
- * How many attempts of this gateway one endpoint may have in flight: additive increase while the limit is reached and
- * responses are quick, multiplicative decrease when they are slow, as TCP's congestion window. A limit below 1 is a
- * pause between attempts, as one attempt of every gateway can be too much for an endpoint.
+ * Limits how many attempts of this gateway may be in flight at one endpoint: additive increase while the limit is
+ * reached and responses are fast, multiplicative decrease when they are slow, as in TCP's congestion window. A limit
+ * below 1 requires a pause between attempts, because even one attempt from every gateway may be too much for an
+ * endpoint.
  */
 public final class ConcurrencyLimit {
-    /** About two for each core of a small machine. */
+    /** About two attempts for each core of a small machine. */
     private static final double INITIAL_LIMIT = 4;
-    /** The least: an attempt in eight half objectives still shows soon when an endpoint does better. */
+    /**
+     * Lowest limit. It allows one attempt every eight half objectives, which still detects soon that an endpoint has
+     * recovered.
+     */
     private static final double MIN_LIMIT = 1.0 / 8;
-    /** A slow response takes a tenth off the limit: some are long by themselves. */
+    /** A slow response lowers the limit by a tenth, because some requests take long by nature. */
     private static final double DECREASE_FACTOR = 0.9;
-    /** A response is slow beyond this part of its objective: the rest is for a queue here and another attempt. */
-    private static final double SLOW_PART_OF_OBJECTIVE = 1.0 / 4;
+    /**
+     * A response is slow beyond this fraction of its objective; the rest is reserved for queueing at the gateway and
+     * another attempt.
+     */
+    private static final double SLOW_OBJECTIVE_FRACTION = 1.0 / 4;
 
     private final double meanObjectiveMs;
     private double limit = INITIAL_LIMIT;
@@ -24,7 +31,10 @@
         this.meanObjectiveMs = meanObjectiveMs;
     }
 
-    /** Whether one more may be sent, with so many in flight; a limit below 1 asks for a pause since the last. */
+    /**
+     * Returns whether another attempt may be sent with this many in flight. A limit below 1 requires a pause since the
+     * last attempt.
+     */
     public boolean allowsAnother(int inFlight, double now) {
         return inFlight == 0 ? limit >= 1 || now >= lastSentAt + meanObjectiveMs / 2 / limit : inFlight + 1 <= limit;
     }
@@ -34,12 +44,12 @@
     }
 
     /**
-     * An attempt has ended, by a response or its time limit.
+     * Records an attempt that has ended with a response or by its time limit.
      *
-     * @param inFlight attempts that are still in flight
+     * @param inFlight number of attempts that are still in flight
      */
     public void record(double tookMs, double objectiveMs, int inFlight) {
-        if (tookMs > objectiveMs * SLOW_PART_OF_OBJECTIVE) {
+        if (tookMs > objectiveMs * SLOW_OBJECTIVE_FRACTION) {
             limit = Math.max(MIN_LIMIT, limit * DECREASE_FACTOR);
         } else if (inFlight + 1 >= (int) limit) {
             limit += 1 / Math.max(1, limit);
--- a/src/main/java/quotagateway/policy/health/FailureEstimator.java
+++ b/src/main/java/quotagateway/policy/health/FailureEstimator.java
@@ -6,20 +6,20 @@
 import quotagateway.policy.statistics.DecayingValue;
 
 /**
- * How likely one endpoint fails a request, or cannot be reached, for each request class: an endpoint may fail one class
- * and serve the others.
+ * Estimates how likely one endpoint is to fail a request or to be unreachable, for each request class: an endpoint may
+ * fail one class and serve the others.
  */
 public final class FailureEstimator {
-    /** Half is forgotten in this time, in which slowness is nearly gone. */
+    /** Time in which the share of failures halves; slowness has nearly decayed by then. */
     private static final double FAILURE_HALF_LIFE_MS = 4 * LatencyEstimator.SLOWNESS_HALF_LIFE_MS;
 
-    /** By the name of the class; none for classes that never failed, and null where none did. */
+    /** By class name, without the classes that have never failed; null if no class has failed. */
     private Map<String, DecayingValue> failureShares;
 
-    /** The part of this class's attempts that fail, from 0 to 1. */
+    /** Returns the share of this class's attempts that fail, from 0 to 1. */
     public double failureShare(RequestClass requestClass, double now) {
         if (failureShares == null) {
-            return 0; // as of most endpoints, in the choice among all of them
+            return 0; // the case of most endpoints when the routing compares all of them
         }
         DecayingValue share = failureShares.get(requestClass.name());
         return share == null ? 0 : share.valueAt(now);
@@ -44,12 +44,15 @@
         add(share, 1, now);
     }
 
-    /** The newest sample counts as much as all before it: one failure is reason enough to try elsewhere. */
+    /**
+     * Gives the newest sample as much weight as all earlier ones together: a single failure is reason enough to try
+     * another endpoint.
+     */
     private static void add(DecayingValue share, double failed, double now) {
         share.set((share.valueAt(now) + failed) / 2, now);
     }
 
-    /** Forgets everything: another process answers there now. */
+    /** Discards all samples because another process now runs at the endpoint. */
     public void reset() {
         failureShares = null;
     }
--- a/src/main/java/quotagateway/policy/health/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/health/OutlierDetector.java
@@ -1,81 +1,92 @@
 package quotagateway.policy.health;
 
 /**
- * Ejects one endpoint for a while when its attempts fail in a row (outlier detection, as Envoy has it). After the
- * ejection it is on trial: one attempt at a time, and a failure ejects it again, for twice as long. A success ends all
- * of this. Whether the fleet can spare the endpoint is the caller's to say.
+ * Ejects one endpoint for a limited time after consecutive failures (outlier detection, as in Envoy). After the
+ * ejection the endpoint is on probation: it gets one attempt at a time, and a failure ejects it again, for twice as
+ * long. A success clears failures, probation and doubling. The caller decides whether enough other endpoints are left.
  */
 public final class OutlierDetector {
-    /** Length of the first ejection: longer than a blip, short against the time that a client waits. */
-    private static final double FIRST_EJECTION_MS = 500;
-    /** It is doubled so many times at the most, to 8 s. */
+    /**
+     * Duration of the first ejection: longer than a brief disturbance, short compared with the time that a client
+     * waits.
+     */
+    private static final double BASE_EJECTION_MS = 500;
+    /** Maximum number of doublings of the duration, to 8 s. */
     private static final int MAX_DOUBLINGS = 4;
-    /** Failures without a success between that eject an endpoint, weighed by what they prove. */
-    private static final double EJECTING_FAILURES = 3;
+    /**
+     * Number of failures without a success in between that ejects an endpoint, weighted by what each failure proves.
+     */
+    private static final double EJECTION_THRESHOLD = 3;
 
     private double failures;
     private double ejectedUntil;
     private double doublings;
-    private boolean onTrial;
-    private boolean unreachableOnTrial;
+    private boolean onProbation;
+    private boolean unreachableOnProbation;
 
-    /** Whether nothing may be sent there at present. */
+    /** Returns whether no attempt may be sent to the endpoint at present. */
     public boolean isEjected(double now) {
         return now < ejectedUntil;
     }
 
-    /** Whether it was ejected and has not succeeded since. */
-    public boolean isOnTrial() {
-        return onTrial;
+    /** Returns whether the endpoint was ejected and has not succeeded since. */
+    public boolean isOnProbation() {
+        return onProbation;
     }
 
     /**
-     * Counts a failure.
+     * Records a failure.
      *
-     * @param weight 1 for an ordinary failure, more or less by what it proves
+     * @param weight 1 for an ordinary failure, more or less depending on what the failure proves
      * @return whether the endpoint should now be ejected
      */
     public boolean recordFailure(double weight, double now) {
         failures += weight;
-        return (failures >= EJECTING_FAILURES || onTrial) && !isEjected(now);
+        return (failures >= EJECTION_THRESHOLD || onProbation) && !isEjected(now);
     }
 
-    /** No connection to the endpoint: chance at first, but on trial it means that the process has ended. */
+    /**
+     * Records that no connection to the endpoint could be made. Without probation this may be chance, on probation it
+     * means that the process has ended.
+     */
     public void recordUnreachable() {
-        unreachableOnTrial |= onTrial;
+        unreachableOnProbation |= onProbation;
     }
 
-    /** Ejects the endpoint, for twice as long as the last time. */
+    /** Ejects the endpoint, for twice as long as the last time up to the maximum. */
     public void eject(double now) {
-        ejectedUntil = now + FIRST_EJECTION_MS * Math.pow(2, doublings);
+        ejectedUntil = now + BASE_EJECTION_MS * Math.pow(2, doublings);
         doublings = Math.min(doublings + 1, MAX_DOUBLINGS);
-        onTrial = true;
+        onProbation = true;
     }
 
-    /** An attempt has succeeded. */
+    /** Records a successful attempt. */
     public void recordSuccess() {
         failures = 0;
-        onTrial = false;
-        unreachableOnTrial = false;
+        onProbation = false;
+        unreachableOnProbation = false;
         doublings = 0;
     }
 
-    /** Whether it could not be reached when it was on trial: its process may have restarted since. */
+    /** Returns whether the endpoint was unreachable on probation: its process may have restarted since. */
     public boolean mayHaveRestarted() {
-        return unreachableOnTrial;
+        return unreachableOnProbation;
     }
 
-    /** Forgets failures and ejections: another process is listed there. Until it answers a trial goes on. */
+    /**
+     * Clears failures and ejections because another process is listed. A probation continues until that process
+     * answers.
+     */
     public void onNewProcess() {
         failures = 0;
         ejectedUntil = 0;
         doublings = 0;
     }
 
-    /** Forgets everything: an operator vouches for the endpoint. */
+    /** Clears all state because an operator has declared the endpoint usable. */
     public void reset() {
         onNewProcess();
-        onTrial = false;
-        unreachableOnTrial = false;
+        onProbation = false;
+        unreachableOnProbation = false;
     }
 }
--- a/src/main/java/quotagateway/policy/health/package-info.java
+++ b/src/main/java/quotagateway/policy/health/package-info.java
@@ -1,2 +1,2 @@
-/** What the attempts at one endpoint teach: how slow it is, how often it fails, how much it bears. */
+/** Estimates from the attempts at an endpoint: its slowness, its failures and how many attempts it can handle. */
 package quotagateway.policy.health;
--- a/src/main/java/quotagateway/policy/quota/GrantEstimator.java
+++ b/src/main/java/quotagateway/policy/quota/GrantEstimator.java
@@ -56,7 +56,7 @@
      */
     boolean isWorthAdmittingWithoutCounter() {
         double cost = plan.excessCost();
-        double lostByRejection = 1 - traffic.sentLaterShare();
+        double lostByRejection = 1 - traffic.eventuallySentShare();
         double gain = lostByRejection * (1 - Math.min(plan.excessWeight(), MAX_EXCESS_WEIGHT));
         double breakEven = cost / (cost + gain);
         return limiter.isAboveDemand() && grantRatio > breakEven;
--- a/src/main/java/quotagateway/policy/routing/OutcomeRecorder.java
+++ b/src/main/java/quotagateway/policy/routing/OutcomeRecorder.java
@@ -80,7 +80,7 @@
     /** Adapts the send rate and the concurrency limit; the send rate has counted a late attempt when it became late. */
     private void adaptLimits(Endpoint endpoint, ClassLatency classLatency, double tookMs) {
         double objectiveMs = classLatency.requestClass().latencyObjective();
-        if (tookMs <= objectiveMs * SendRateLimiter.LATE_PART_OF_OBJECTIVE) {
+        if (tookMs <= objectiveMs * SendRateLimiter.LATE_OBJECTIVE_FRACTION) {
             limiter.onTimelyResponse();
         }
         endpoint.concurrencyLimit().record(tookMs, objectiveMs, endpoint.inFlight());
@@ -89,7 +89,7 @@
     /** Counts a failure; ejects the endpoint on enough evidence if the fleet can spare another endpoint. */
     private void onFailure(Endpoint endpoint, double weight) {
         double now = clock.now();
-        if (endpoint.outlierDetector().recordFailure(weight, now) && endpoints.canSpareOneMore()) {
+        if (endpoint.outlierDetector().recordFailure(weight, now) && endpoints.canEjectOneMore()) {
             endpoint.outlierDetector().eject(now);
         }
     }
--- a/src/main/java/quotagateway/policy/slowstart/FleetSizeEstimator.java
+++ b/src/main/java/quotagateway/policy/slowstart/FleetSizeEstimator.java
@@ -3,26 +3,26 @@
 import quotagateway.policy.timer.ResplitSchedule;
 
 /**
- * How many endpoints this gateway usually has: up at once, down slowly. A fleet that has shrunk for a while is taken
- * for its former size, as the lost part comes back soon, and its traffic with it.
+ * Estimates how many endpoints this gateway usually has. The estimate rises immediately and falls slowly: after a loss
+ * it stays near the former size for a while, because the lost endpoints return soon, and their traffic with them.
  */
 public final class FleetSizeEstimator {
-    /** A lost part is held to be coming back for about this long. */
-    private static final double SHRINK_TIME_CONSTANT_MS = 60_000;
+    /** Time constant of the decrease: lost endpoints are expected to return within about this time. */
+    private static final double SIZE_DECAY_TIME_CONSTANT_MS = 60_000;
 
-    private double usualSize;
+    private double estimatedSize;
 
-    /** An endpoint has come into use. */
+    /** Called when an endpoint has become a member, with the new number of members. */
     public void onGrowth(int size) {
-        usualSize = Math.max(usualSize, size);
+        estimatedSize = Math.max(estimatedSize, size);
     }
 
-    /** Called at every re-split. */
+    /** Called at every re-split, with the present number of members. */
     public void endPeriod(int size) {
-        usualSize += (size - usualSize) * ResplitSchedule.PERIOD_MS / SHRINK_TIME_CONSTANT_MS;
+        estimatedSize += (size - estimatedSize) * ResplitSchedule.PERIOD_MS / SIZE_DECAY_TIME_CONSTANT_MS;
     }
 
-    public double usualSize() {
-        return usualSize;
+    public double estimatedSize() {
+        return estimatedSize;
     }
 }
--- a/src/main/java/quotagateway/policy/slowstart/SlowStartBudget.java
+++ b/src/main/java/quotagateway/policy/slowstart/SlowStartBudget.java
@@ -3,15 +3,15 @@
 import quotagateway.policy.api.ServiceRules;
 
 /**
- * The sends that are due to one endpoint in slow start, from this gateway: a credit that grows at a rate. All gateways
- * keep one for each such endpoint, so that together they do not push it over.
+ * Budgets the sends of this gateway to one endpoint in slow start: a credit that grows at a given rate. Every gateway
+ * keeps a budget for each such endpoint, so that the gateways together do not overload it.
  */
 public final class SlowStartBudget {
     /**
-     * A send that is due but not used lapses after so many times the rules' window: all gateways would have saved one
-     * up, and would need it together.
+     * A send that is due but not used lapses after this many overload windows of the rules. Otherwise every gateway
+     * would save up a send, and all gateways would spend theirs at the same time.
      */
-    private static final double UNUSED_KEPT_WINDOWS = 2;
+    private static final double MAX_UNUSED_CREDIT_WINDOWS = 2;
 
     private final ServiceRules rules;
     private double credit;
@@ -22,20 +22,21 @@
     }
 
     /**
-     * Begins anew, when the endpoint has started.
+     * Resets the budget when the endpoint has started.
      *
-     * @param initialCredit a random part of one send, so that not all gateways send their first together
+     * @param initialCredit a random fraction of one send, so that the gateways do not all make their first send
+     *     simultaneously
      */
     public void restart(double initialCredit, double now) {
         credit = initialCredit;
         updatedAt = now;
     }
 
-    /** Whether a send is due by now; the rate held since the last call. */
+    /** Returns whether a send is due now. The given rate applies to the time since the last call. */
     public boolean allowsSend(double sendsPerMs, double now) {
         credit += sendsPerMs * (now - updatedAt);
-        double kept = sendsPerMs * UNUSED_KEPT_WINDOWS * rules.overloadWindow();
-        credit -= Math.max(0, Math.floor(credit - kept));
+        double maxCredit = sendsPerMs * MAX_UNUSED_CREDIT_WINDOWS * rules.overloadWindow();
+        credit -= Math.max(0, Math.floor(credit - maxCredit));
         updatedAt = now;
         return credit >= 1;
     }
--- a/src/main/java/quotagateway/policy/slowstart/RecoveryRamp.java
+++ b/src/main/java/quotagateway/policy/slowstart/SlowStartRamp.java
@@ -3,25 +3,26 @@
 import quotagateway.policy.api.ServiceRules;
 
 /**
- * How far one endpoint has warmed up: its capacity grows in a line from the settings' initial share at its start to all
- * of it. That is the least that it can have, by the settings; it may be quicker.
+ * Tracks the warm-up of one endpoint: its capacity grows linearly from the initial share in the settings, at the start
+ * of its process, to the full capacity. By the settings this is the least capacity that the endpoint has; it may warm
+ * up faster.
  */
-public final class RecoveryRamp {
+public final class SlowStartRamp {
     private final ServiceRules rules;
     private double startedAt = Double.NEGATIVE_INFINITY;
-    /** When an endpoint that was uncordoned is owed its first request; never for the others. */
+    /** When the first request to an uncordoned endpoint is due; never for other endpoints. */
     private double firstRequestDueAt = Double.MAX_VALUE;
 
-    public RecoveryRamp(ServiceRules rules) {
+    public SlowStartRamp(ServiceRules rules) {
         this.rules = rules;
     }
 
-    /** The endpoint's process has started at this time; the latest start counts. */
+    /** Starts the ramp for a process that started at this time; the latest start counts. */
     public void start(double at) {
         startedAt = Math.max(startedAt, at);
     }
 
-    /** The part of its capacity that the endpoint has at the least, 1 when it is warm. */
+    /** Returns the fraction of its capacity that the endpoint has at least, 1 when it is warm. */
     public double warmupFraction(double now) {
         double age = now - startedAt;
         return age >= rules.slowStartDuration() ? 1 : fractionAt(age);
@@ -36,7 +37,7 @@
         return warmupFraction(now) >= 1;
     }
 
-    /** From this time on the endpoint is to be preferred until it gets a request. */
+    /** Makes the endpoint preferred from this time on until it gets a request. */
     public void expectFirstRequestAt(double at) {
         firstRequestDueAt = at;
     }
@@ -45,7 +46,7 @@
         return now >= firstRequestDueAt;
     }
 
-    /** A request was sent there. */
+    /** Called when a request was sent to the endpoint. */
     public void onSend() {
         firstRequestDueAt = Double.MAX_VALUE;
     }
--- a/src/main/java/quotagateway/policy/slowstart/SlowStartRate.java
+++ b/src/main/java/quotagateway/policy/slowstart/SlowStartRate.java
@@ -4,7 +4,7 @@
 import quotagateway.policy.traffic.SendRateLimiter;
 import quotagateway.policy.traffic.TrafficMeter;
 
-/** This gateway's part of what an endpoint in slow start bears. */
+/** Calculates this gateway's share of the load that an endpoint in slow start can handle. */
 public final class SlowStartRate {
     private final ServiceRules rules;
     private final TrafficMeter traffic;
@@ -20,13 +20,15 @@
     }
 
     /**
-     * Sends for each millisecond to an endpoint that has this part of its capacity. By what is asked for, not only by
-     * what is sent: with all endpoints cold both would become less and less.
+     * Returns the number of sends per millisecond to an endpoint that has this fraction of its capacity. The rate
+     * depends on the requests received and not only on the attempts sent: when all endpoints are cold, the sends and a
+     * rate derived from them alone would reduce each other further and further.
      */
     public double sendsPerMs(double warmupFraction) {
-        double safeFactor = Math.max(1, rules.overloadFactor() / 2); // half of what would overload it
-        double wanted = Math.min(traffic.requestsPerSecond() * traffic.sentShare(), limiter.ratePerSecond());
-        double perEndpoint = Math.max(traffic.sendsPerSecond(), wanted) / Math.max(1, fleetSize.usualSize());
-        return perEndpoint / 1000 * warmupFraction * safeFactor;
+        double safeFactor = Math.max(1, rules.overloadFactor() / 2); // half of what overloads the endpoint
+        double demandPerSecond = Math.min(traffic.requestsPerSecond() * traffic.sentShare(), limiter.ratePerSecond());
+        double perEndpointPerSecond =
+                Math.max(traffic.sendsPerSecond(), demandPerSecond) / Math.max(1, fleetSize.estimatedSize());
+        return perEndpointPerSecond / 1000 * warmupFraction * safeFactor;
     }
 }
--- a/src/main/java/quotagateway/policy/slowstart/package-info.java
+++ b/src/main/java/quotagateway/policy/slowstart/package-info.java
@@ -1,2 +1,5 @@
-/** How endpoints that have just started are spared: their ramp, and this gateway's part of what they bear. */
+/**
+ * Slow start of endpoints whose process has just started: their ramp, and this gateway's share of the load that they
+ * can handle.
+ */
 package quotagateway.policy.slowstart;
--- a/src/main/java/quotagateway/policy/statistics/DecayingValue.java
+++ b/src/main/java/quotagateway/policy/statistics/DecayingValue.java
@@ -1,32 +1,32 @@
 package quotagateway.policy.statistics;
 
 /**
- * A value with the time of its last update. Without updates its distance from a resting value halves in every
- * half-life: what was learned long ago is forgotten.
+ * A value that decays: without updates, its distance from a baseline halves in every half-life, so that old
+ * observations lose their effect.
  */
 public final class DecayingValue {
-    private final double restingValue;
+    private final double baseline;
     private final double halfLifeMs;
     private double value;
     private double updatedAt;
 
-    /** A value that begins at rest. */
-    public DecayingValue(double restingValue, double halfLifeMs, double now) {
-        this.restingValue = restingValue;
+    /** Creates a value that starts at the baseline. */
+    public DecayingValue(double baseline, double halfLifeMs, double now) {
+        this.baseline = baseline;
         this.halfLifeMs = halfLifeMs;
-        value = restingValue;
+        value = baseline;
         updatedAt = now;
     }
 
-    /** The value as it has decayed by now. */
+    /** Returns the value, decayed until now. */
     public double valueAt(double now) {
-        if (value == restingValue) {
-            return value; // most are at rest, and the power below costs more than all else in the choice of an endpoint
+        if (value == baseline) {
+            return value; // most values are at the baseline, and pow() is the largest cost of choosing an endpoint
         }
-        return restingValue + (value - restingValue) * Math.pow(0.5, (now - updatedAt) / halfLifeMs);
+        return baseline + (value - baseline) * Math.pow(0.5, (now - updatedAt) / halfLifeMs);
     }
 
-    /** The value as of its last update, not decayed since. */
+    /** Returns the value as of its last update, without decay. */
     public double lastValue() {
         return value;
     }
@@ -36,8 +36,8 @@
         updatedAt = now;
     }
 
-    /** Back to the resting value. */
+    /** Resets the value to the baseline. */
     public void reset() {
-        value = restingValue;
+        value = baseline;
     }
 }
--- a/src/main/java/quotagateway/policy/statistics/LatencyObjectives.java
+++ b/src/main/java/quotagateway/policy/statistics/LatencyObjectives.java
@@ -4,10 +4,10 @@
 import quotagateway.policy.api.RequestClass;
 
 /**
- * The latency objectives of all request classes together.
+ * Statistics of the latency objectives of all request classes.
  *
- * @param meanMs their mean, each class counted once
- * @param longestMs the longest of them
+ * @param meanMs mean objective, with each class counted once
+ * @param longestMs longest objective
  */
 public record LatencyObjectives(double meanMs, double longestMs) {
     public static LatencyObjectives of(List<RequestClass> classes) {
--- a/src/main/java/quotagateway/policy/statistics/package-info.java
+++ b/src/main/java/quotagateway/policy/statistics/package-info.java
@@ -1,2 +1,2 @@
-/** Averages that forget. */
+/** Averages in which old samples lose their weight. */
 package quotagateway.policy.statistics;
--- a/src/main/java/quotagateway/policy/timer/EventClock.java
+++ b/src/main/java/quotagateway/policy/timer/EventClock.java
@@ -1,8 +1,8 @@
 package quotagateway.policy.timer;
 
 /**
- * The time of the event that is being handled, in milliseconds of the host's clock. The policy has no other clock:
- * time stands still during an event, and never runs backwards.
+ * The time of the event that is being handled, in milliseconds of the host's clock. The policy has no other clock: the
+ * time is constant during an event and never decreases.
  */
 public final class EventClock {
     private double now;
@@ -15,7 +15,7 @@
         return now;
     }
 
-    /** Called once at the begin of every event, by the policy alone. An event from the past changes nothing. */
+    /** Called once at the start of every event, by the policy alone. A time in the past has no effect. */
     public void advanceTo(double time) {
         now = Math.max(now, time);
     }
--- a/src/main/java/quotagateway/policy/timer/TimerQueue.java
+++ b/src/main/java/quotagateway/policy/timer/TimerQueue.java
@@ -5,16 +5,16 @@
 import quotagateway.policy.api.PolicyActions;
 
 /**
- * All timers of the policy over a host that is asked for one at a time: the earliest. Tasks that are due at the same
- * moment run in the order in which they were scheduled. A timer is never cancelled; a task that has become pointless
- * finds that out when it runs.
+ * Runs all timers of the policy on a single timer of the host, which is armed for the earliest one. Tasks that are due
+ * at the same time run in the order in which they were scheduled. A timer is never cancelled: a task that is no longer
+ * needed detects this when it runs.
  */
 public final class TimerQueue {
     private record Timer(double at, long serial, Runnable task) {}
 
-    /** The host's clock may differ by less than this from the time that was asked for, by rounding. */
+    /** Because of rounding, the host's clock may differ from the requested time by less than this. */
     private static final double CLOCK_TOLERANCE_MS = 1e-3;
-    /** A timer must be earlier by more than this to be asked for in place of the one that the host has. */
+    /** A timer must be earlier by more than this to replace the timer that the host has. */
     private static final double REARM_TOLERANCE_MS = CLOCK_TOLERANCE_MS / 1000;
 
     private final PriorityQueue<Timer> queue =
@@ -22,7 +22,7 @@
     private final EventClock clock;
     private final PolicyActions host;
     private long nextSerial;
-    /** When the timer fires that the host was last asked for. */
+    /** When the timer that was last requested from the host fires. */
     private double armedAt = Double.MAX_VALUE;
 
     public TimerQueue(EventClock clock, PolicyActions host) {
@@ -30,7 +30,7 @@
         this.host = host;
     }
 
-    /** Runs a task at the first event at or after this time. */
+    /** Runs a task in the first event at or after this time. */
     public void schedule(double at, Runnable task) {
         queue.add(new Timer(at, nextSerial++, task));
         if (at < armedAt - REARM_TOLERANCE_MS) {
@@ -38,24 +38,24 @@
         }
     }
 
-    /** Makes sure that there is an event at this time: what happens in it is what every event does. */
+    /** Ensures that there is an event at this time, for the work that the policy does in every event. */
     public void scheduleWakeUp(double at) {
         schedule(at, () -> {});
     }
 
-    /** Runs every task that is due, also those that become due by another's run. */
+    /** Runs every task that is due, including tasks that become due because another task runs. */
     public void runDue() {
         while (!queue.isEmpty() && queue.peek().at <= clock.now()) {
             queue.poll().task.run();
         }
     }
 
-    /** Whether the host's timer of this time is the last one asked for; one that it superseded may still fire. */
+    /** Returns whether the host's timer of this time is the last one requested; a superseded timer may still fire. */
     public boolean isLastArmed(double time) {
         return time >= armedAt - CLOCK_TOLERANCE_MS;
     }
 
-    /** Asks the host for the earliest timer. There has to be one. */
+    /** Requests the earliest timer from the host. The queue must not be empty. */
     public void arm() {
         armedAt = queue.peek().at;
         host.scheduleTimer(Math.max(0, armedAt - clock.now()), 0);
--- a/src/main/java/quotagateway/policy/timer/package-info.java
+++ b/src/main/java/quotagateway/policy/timer/package-info.java
@@ -1,2 +1,2 @@
-/** The policy's clock, its timers and the times of the re-split. */
+/** The policy's clock, its timers and the schedule of the re-splits. */
 package quotagateway.policy.timer;
--- a/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
+++ b/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
@@ -7,30 +7,42 @@
 import quotagateway.policy.timer.TimerQueue;
 
 /**
- * Bounds what this gateway sends to all endpoints together, retries included, as a token bucket whose rate is adapted:
- * up with responses in time, down with attempts that become late (additive increase, multiplicative decrease). Where
- * all endpoints are late alike, the concurrency limit of each sees too few responses to notice.
+ * Limits the rate of the attempts, including retries, that this gateway sends to all endpoints together. It is a token
+ * bucket with an adaptive rate: responses in time raise the rate and late attempts lower it (additive increase,
+ * multiplicative decrease). If all endpoints are equally late, the concurrency limit of each endpoint sees too few
+ * responses to react.
  */
 public final class SendRateLimiter {
-    /** An attempt counts as late beyond this part of its latency objective. */
-    public static final double LATE_PART_OF_OBJECTIVE = 1.0 / 2;
-    /** Least step of the rate for each response, as a part of the requests a second: about thirty make the whole. */
+    /** An attempt counts as late beyond this fraction of its latency objective. */
+    public static final double LATE_OBJECTIVE_FRACTION = 1.0 / 2;
+    /**
+     * Smallest step of the rate for each response, as a fraction of the request rate: about thirty steps make up the
+     * request rate.
+     */
     private static final double MIN_STEP = 0.03;
-    /** Largest step, for a gateway with few responses: it is to be as quick down and up again as the others. */
+    /**
+     * Largest step, for a gateway with few responses, so that its rate falls and rises as quickly as that of the
+     * others.
+     */
     private static final double MAX_STEP = 0.25;
-    /** Steps down for a late attempt: at three for one up, the rate falls where more than a quarter are late. */
-    private static final int LATE_STEPS = 3;
-    /** Sends a second at the least: without any, it would not show when endpoints do better. */
-    private static final double MIN_RATE = 0.1;
-    /** And at the least this part of what is asked for. */
-    private static final double MIN_SHARE_OF_REQUESTS = 1.0 / 8;
-    /** At the most so many times what is asked for: retries are sends too. */
-    private static final double MAX_PER_REQUEST = 2;
-    /** Burst of the bucket at the least, for gateways that send less than that in a re-split period. */
+    /**
+     * Number of steps down for a late attempt. With three steps down and one up, the rate falls if more than a quarter
+     * of the attempts are late.
+     */
+    private static final int STEPS_PER_LATE_ATTEMPT = 3;
+    /**
+     * Minimum rate in sends per second: without any sends, the gateway would not notice that endpoints have recovered.
+     */
+    private static final double MIN_RATE_PER_SECOND = 0.1;
+    /** Minimum rate as a fraction of the request rate. */
+    private static final double MIN_FRACTION_OF_REQUEST_RATE = 1.0 / 8;
+    /** Maximum rate as a multiple of the request rate; retries are sends too. */
+    private static final double MAX_SENDS_PER_REQUEST = 2;
+    /** Minimum burst of the token bucket, for gateways that send less than that in a re-split period. */
     private static final double MIN_BURST = 2;
-    /** Attempts at first that all gateways together may have in flight at each endpoint. */
-    private static final double INITIAL_IN_FLIGHT = 2;
-    /** Until seen, responses are taken to come within this part of the latency objective. */
+    /** Number of attempts at each endpoint that the initial rate allows all gateways together to have in flight. */
+    private static final double INITIAL_IN_FLIGHT_PER_ENDPOINT = 2;
+    /** Before there are measurements, responses are assumed to take the latency objective divided by this. */
     private static final double INITIAL_LATENCY_DIVISOR = 8;
 
     private final PolicySettings settings;
@@ -56,29 +68,32 @@
         this.traffic = traffic;
     }
 
-    /** Sends a second that are allowed at present. */
+    /** Returns the number of sends per second that are allowed at present. */
     public double ratePerSecond() {
         return ratePerSecond;
     }
 
-    /** Whether all that is asked for may be sent: endpoints are not pressed. */
+    /** Returns whether the rate allows all requests to be sent, which means that the endpoints are not overloaded. */
     public boolean isAboveDemand() {
         return ratePerSecond >= traffic.requestsPerSecond();
     }
 
-    /** Before there are measured rates: allows what so many endpoints bear, for this gateway's part. */
-    public void startWith(long endpoints) {
+    /**
+     * Raises the rate to this gateway's share of the load that this many endpoints are assumed to handle. Called
+     * before there are measured rates.
+     */
+    public void initializeRate(long endpoints) {
         ratePerSecond = Math.max(
                 ratePerSecond,
                 1000.0
-                        * INITIAL_IN_FLIGHT
+                        * INITIAL_IN_FLIGHT_PER_ENDPOINT
                         * endpoints
                         / settings.nodeCount()
                         / (objectives.meanMs() / INITIAL_LATENCY_DIVISOR));
         permits = burst();
     }
 
-    /** Whether an attempt may be sent now; if not, there will be an event when one may. */
+    /** Returns whether an attempt may be sent now; if not, schedules an event for the time when one may be sent. */
     public boolean hasPermit() {
         double now = clock.now();
         permits = Math.min(burst(), permits + ratePerSecond * (now - refilledAt) / 1000);
@@ -94,19 +109,19 @@
         return Math.max(MIN_BURST, ratePerSecond * ResplitSchedule.PERIOD_MS / 1000);
     }
 
-    /** An attempt was sent: it uses up a permit. */
+    /** Uses up a permit for an attempt that was sent. */
     public void onSend() {
         permits--;
     }
 
-    /** A response has come within the time for it. */
+    /** Raises the rate after a response that has come in time. */
     public void onTimelyResponse() {
         setRate(ratePerSecond + step() * traffic.requestsPerSecond());
     }
 
-    /** An attempt has become late. It is counted once, though it may end later still. */
+    /** Lowers the rate after an attempt has become late. The attempt counts once, even if it ends later still. */
     public void onLateAttempt() {
-        setRate(ratePerSecond * Math.pow(1 - step(), LATE_STEPS));
+        setRate(ratePerSecond * Math.pow(1 - step(), STEPS_PER_LATE_ATTEMPT));
     }
 
     private double step() {
@@ -115,7 +130,8 @@
 
     private void setRate(double rate) {
         double requests = traffic.requestsPerSecond();
-        double upper = traffic.isWarmingUp() ? rate : Math.max(1, MAX_PER_REQUEST * requests);
-        ratePerSecond = Math.max(Math.max(MIN_RATE, MIN_SHARE_OF_REQUESTS * requests), Math.min(rate, upper));
+        double maxRate = traffic.isWarmingUp() ? rate : Math.max(1, MAX_SENDS_PER_REQUEST * requests);
+        ratePerSecond = Math.max(
+                Math.max(MIN_RATE_PER_SECOND, MIN_FRACTION_OF_REQUEST_RATE * requests), Math.min(rate, maxRate));
     }
 }
--- a/src/main/java/quotagateway/policy/traffic/package-info.java
+++ b/src/main/java/quotagateway/policy/traffic/package-info.java
@@ -1,2 +1,2 @@
-/** What this gateway is asked for and sends, and the bound on its sends a second. */
+/** Measurement of the requests received and the attempts sent, and the limit on the rate of sends. */
 package quotagateway.policy.traffic;
--- a/src/test/java/quotagateway/policy/PolicyTimerTest.java
+++ b/src/test/java/quotagateway/policy/PolicyTimerTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.api.CallOutcome;
 
-/** The one timer that the policy has at its host. */
+/** Tests the single timer that the policy keeps armed at its host. */
 class PolicyTimerTest {
     private static final CallOutcome OK = CallOutcome.OK;
 
@@ -18,6 +18,6 @@
             gateway.advanceTo(i * 10);
         }
         gateway.advanceTo(20000);
-        assertTrue(gateway.timers.size() <= 2, "timers out: " + gateway.timers.size());
+        assertTrue(gateway.timers.size() <= 2, "armed timers: " + gateway.timers.size());
     }
 }
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -29,17 +29,18 @@
 import quotagateway.policy.api.ServiceRules;
 
 /**
- * What a whole fleet sends to a cold server: in no span of the settings' length more than
- * N + 2 x root of N + 2, N being the factor times the least that the settings let it do at that moment.
+ * Tests what a fleet of gateways together sends to an endpoint in slow start: in no overload window of the settings
+ * more than N + 2 x sqrt(N) + 2, where N is the overload factor times the least capacity that the settings give the
+ * endpoint at that time.
  */
 class SlowStartTest {
     private static ServiceRules rules(double warmAfter) {
         return new ServiceRules(16, 250, 0.25, warmAfter, 3, 1000);
     }
 
-    private record Event(double at, long serial, Runnable what) {}
+    private record Event(double at, long serial, Runnable task) {}
 
-    /** Modules on one clock before servers that queue; what each server was sent is kept. */
+    /** A fleet of policies on one clock, with endpoints that queue requests. Records what is sent to each endpoint. */
     private static final class Fleet {
         final int size;
         final ServiceRules rules;
@@ -52,126 +53,132 @@
         final List<EndpointDescriptor> list = new ArrayList<>();
         final double capacity;
         double now;
-        double perSecond;
-        double worst;
+        double requestsPerSecond;
+        double worstLoadRatio;
         long serial;
-        long asked;
+        long requests;
         long served;
 
-        /** Servers that are busy by the part `use` of what each can do warm: `capacity` a second. */
-        Fleet(ServiceRules rules, int size, int servers, double capacity, double use) {
+        /**
+         * @param capacity requests per second that a warm endpoint can serve
+         * @param utilization the fraction of its capacity that each endpoint is used at
+         */
+        Fleet(ServiceRules rules, int size, int endpointCount, double capacity, double utilization) {
             this.rules = rules;
             this.size = size;
             this.capacity = capacity;
-            random = new Random(size + servers);
-            perSecond = use * capacity * servers;
+            random = new Random(size + endpointCount);
+            requestsPerSecond = utilization * capacity * endpointCount;
             gateways = new SimulatedGateway[size];
             weight = new double[size];
-            for (int i = 0; i < servers; i++) {
-                list.add(server(i, EndpointState.UP, 0));
+            for (int i = 0; i < endpointCount; i++) {
+                list.add(descriptor(i, EndpointState.UP, 0));
                 endpoints.put("s" + i, new SimulatedEndpoint());
             }
             for (int i = 0; i < size; i++) {
                 restart(i);
             }
-            shift();
-            next();
+            redistributeTraffic();
+            scheduleNextRequest();
         }
 
-        static EndpointDescriptor server(int i, EndpointState state, double startedAt) {
+        static EndpointDescriptor descriptor(int i, EndpointState state, double startedAt) {
             return new EndpointDescriptor("s" + i, i / 4, "z" + i % 3, state, "k", startedAt, 1, 0);
         }
 
-        void at(double time, Runnable what) {
-            events.add(new Event(Math.max(time, now), serial++, what));
+        void schedule(double time, Runnable task) {
+            events.add(new Event(Math.max(time, now), serial++, task));
         }
 
-        void to(double time) {
+        void advanceTo(double time) {
             while (events.peek().at <= time) {
-                Event e = events.poll();
-                now = e.at;
-                e.what.run();
+                Event event = events.poll();
+                now = event.at;
+                event.task.run();
             }
             now = time;
         }
 
-        /** Some nodes see several times the mean, others next to nothing; which ones, shifts. */
-        void shift() {
+        /** Redistributes the requests every 4 s: some gateways get several times the mean, others almost none. */
+        void redistributeTraffic() {
             for (int i = 0; i < size; i++) {
                 weight[i] = Math.exp(1.2 * random.nextGaussian());
             }
-            at(now + 4000, this::shift);
+            schedule(now + 4000, this::redistributeTraffic);
         }
 
-        private void next() {
-            at(now - Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
+        private void scheduleNextRequest() {
+            schedule(now - Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond, () -> {
                 double point = random.nextDouble() * Arrays.stream(weight).sum();
                 int i = 0;
                 while (i < size - 1 && (point -= weight[i]) >= 0) {
                     i++;
                 }
-                asked++;
+                requests++;
                 gateways[i].policy.onRequest(
                         now,
                         new IncomingRequest(
                                 serial++, "read", "any", "c" + serial % 50, 90_000 / capacity, 1, 1, i, false));
-                next();
+                scheduleNextRequest();
             });
         }
 
-        /** A new process, which knows the list alone. */
+        /** Replaces a gateway by a new process, which knows only the endpoint list. */
         void restart(int i) {
             gateways[i] = new SimulatedGateway(this, i);
             gateways[i].policy.onEndpoints(now, list, true);
         }
 
-        void tell(EndpointDescriptor s) {
-            int i = Integer.parseInt(s.id().substring(1));
-            list.set(i, s);
-            for (SimulatedGateway e : gateways) {
-                e.policy.onEndpoints(now, List.of(s), false);
+        void updateEndpoint(EndpointDescriptor endpoint) {
+            int i = Integer.parseInt(endpoint.id().substring(1));
+            list.set(i, endpoint);
+            for (SimulatedGateway gateway : gateways) {
+                gateway.policy.onEndpoints(now, List.of(endpoint), false);
             }
         }
 
-        /** Ends, and is back at once, cold. */
-        void cold(int from, int to) {
+        /** Restarts endpoints: they are listed again immediately and are in slow start. */
+        void restartEndpoints(int from, int to) {
             for (int i = from; i < to; i++) {
-                endpoints.get("s" + i).started = now;
-                tell(server(i, EndpointState.UP, now));
+                endpoints.get("s" + i).startedAt = now;
+                updateEndpoint(descriptor(i, EndpointState.UP, now));
             }
         }
 
-        void gone(int from, int to) {
+        void removeEndpoints(int from, int to) {
             for (int i = from; i < to; i++) {
-                tell(server(i, EndpointState.REMOVED, 0));
+                updateEndpoint(descriptor(i, EndpointState.REMOVED, 0));
             }
         }
 
-        void sent(SimulatedGateway gateway, long id, String server) {
-            SimulatedEndpoint p = endpoints.get(server);
-            p.sends.add(now);
-            while (p.sends.peek() <= now - rules.overloadWindow()) {
-                p.sends.poll();
+        void onSend(SimulatedGateway gateway, long id, String endpoint) {
+            SimulatedEndpoint target = endpoints.get(endpoint);
+            target.sends.add(now);
+            while (target.sends.peek() <= now - rules.overloadWindow()) {
+                target.sends.poll();
             }
-            double age = now - p.started;
-            double warm = Math.min(1, age / rules.slowStartDuration());
-            double able = capacity * (rules.slowStartInitialShare() + (1 - rules.slowStartInitialShare()) * warm);
+            double age = now - target.startedAt;
+            double warmupFraction = Math.min(1, age / rules.slowStartDuration());
+            double currentCapacity =
+                    capacity * (rules.slowStartInitialShare() + (1 - rules.slowStartInitialShare()) * warmupFraction);
             if (age < rules.slowStartDuration()) {
-                double n = rules.overloadFactor() * able * rules.overloadWindow() / 1000;
-                long told = p.sends.stream().filter(t -> t >= p.started).count();
-                worst = Math.max(worst, told / (n + 2 * Math.sqrt(n) + 2));
+                double n = rules.overloadFactor() * currentCapacity * rules.overloadWindow() / 1000;
+                long sendsSinceStart =
+                        target.sends.stream().filter(t -> t >= target.startedAt).count();
+                worstLoadRatio = Math.max(worstLoadRatio, sendsSinceStart / (n + 2 * Math.sqrt(n) + 2));
             }
-            // the line in front of it, then its own work: at three times its capacity in line it turns away
-            double work = -Math.log(1 - random.nextDouble()) * 1000 / able;
-            boolean full = p.free > now + 3000;
-            p.free = full ? p.free : Math.max(p.free, now) + work;
+            // An attempt waits in the queue and then takes its service time. With more than 3 s of work queued the
+            // endpoint rejects the attempt.
+            double serviceMs = -Math.log(1 - random.nextDouble()) * 1000 / currentCapacity;
+            boolean full = target.idleAt > now + 3000;
+            target.idleAt = full ? target.idleAt : Math.max(target.idleAt, now) + serviceMs;
             double sentAt = now;
-            at(full ? now + 1 : p.free + 3000 / capacity, () -> {
+            schedule(full ? now + 1 : target.idleAt + 3000 / capacity, () -> {
                 served += full ? 0 : 1;
                 gateway.policy.onAttemptEnded(
                         now,
                         id,
-                        gateway.tries.merge(id, 1, Integer::sum) - 1,
+                        gateway.attempts.merge(id, 1, Integer::sum) - 1,
                         full ? CallOutcome.FULL : CallOutcome.OK,
                         now - sentAt,
                         !full,
@@ -183,17 +190,17 @@
 
     private static final class SimulatedEndpoint {
         final ArrayDeque<Double> sends = new ArrayDeque<>();
-        double started = Double.NEGATIVE_INFINITY;
-        double free;
+        double startedAt = Double.NEGATIVE_INFINITY;
+        double idleAt;
     }
 
-    /** A node; a process that has gone still gets its answers, and they count for nothing. */
+    /** A gateway. A process that was replaced still gets its responses, which have no effect. */
     private static final class SimulatedGateway implements PolicyActions {
         final Fleet fleet;
         final Policy policy;
-        final Map<Long, Integer> tries = new HashMap<>();
+        final Map<Long, Integer> attempts = new HashMap<>();
 
-        SimulatedGateway(Fleet fleet, int me) {
+        SimulatedGateway(Fleet fleet, int index) {
             this.fleet = fleet;
             RequestClass read = new RequestClass(
                     "read",
@@ -207,9 +214,9 @@
                     false);
             policy = new Policy(
                     new PolicySettings(
-                            me,
+                            index,
                             fleet.size,
-                            "z" + me % 3,
+                            "z" + index % 3,
                             4,
                             false,
                             false,
@@ -225,19 +232,19 @@
                     this);
         }
 
-        private boolean runs() {
+        private boolean isRunning() {
             return policy != null && Arrays.asList(fleet.gateways).contains(this);
         }
 
         @Override
-        public void sendAttempt(long id, String server, double timeoutAt) {
-            fleet.sent(this, id, server);
+        public void sendAttempt(long id, String endpoint, double timeoutAt) {
+            fleet.onSend(this, id, endpoint);
         }
 
         @Override
         public void scheduleTimer(double delay, long token) {
-            fleet.at(fleet.now + delay + 0.001, () -> {
-                if (runs()) {
+            fleet.schedule(fleet.now + delay + 0.001, () -> {
+                if (isRunning()) {
                     policy.onTimer(fleet.now, token);
                 }
             });
@@ -253,7 +260,7 @@
         public void fail(long id) {}
 
         @Override
-        public void checkHealth(String server) {}
+        public void checkHealth(String endpoint) {}
 
         @Override
         public void addToCounter(long name, double amount, double keepFor) {}
@@ -262,105 +269,116 @@
         public void subscribeToEndpoints() {}
     }
 
-    private enum Trouble {
-        A_THIRD_COLD,
-        ALL_COLD,
-        ALL_BUT_ONE_COLD,
-        BACK_ONE_BY_ONE,
-        REST_LOST,
-        PUT_BACK
+    private enum Disruption {
+        THIRD_RESTARTED,
+        ALL_RESTARTED,
+        ALL_BUT_ONE_RESTARTED,
+        RETURNED_ONE_BY_ONE,
+        OTHERS_REMOVED,
+        UNCORDONED
     }
 
-    /** The trouble comes at 20 s, a burst of half as much again 2 s later. */
-    private static Fleet play(Trouble trouble, int nodes, int servers, double capacity, boolean restarts) {
-        Fleet fleet = new Fleet(rules(13_000), nodes, servers, capacity, 0.5);
-        fleet.to(20_000);
-        int third = servers / 3;
-        switch (trouble) {
-            case A_THIRD_COLD -> fleet.cold(0, third);
-            case ALL_COLD -> fleet.cold(0, servers);
-            case ALL_BUT_ONE_COLD -> fleet.cold(1, servers);
-            case BACK_ONE_BY_ONE -> {
-                fleet.gone(1, servers);
-                for (int i = 1; i < servers; i++) {
-                    int server = i;
-                    fleet.at(fleet.now + 3000 + 400 * i, () -> fleet.cold(server, server + 1));
+    /** Simulates a disruption at 20 s and an increase of the load by half 2 s later. */
+    private static Fleet simulate(
+            Disruption disruption, int gatewayCount, int endpointCount, double capacity, boolean restarts) {
+        Fleet fleet = new Fleet(rules(13_000), gatewayCount, endpointCount, capacity, 0.5);
+        fleet.advanceTo(20_000);
+        int third = endpointCount / 3;
+        switch (disruption) {
+            case THIRD_RESTARTED -> fleet.restartEndpoints(0, third);
+            case ALL_RESTARTED -> fleet.restartEndpoints(0, endpointCount);
+            case ALL_BUT_ONE_RESTARTED -> fleet.restartEndpoints(1, endpointCount);
+            case RETURNED_ONE_BY_ONE -> {
+                fleet.removeEndpoints(1, endpointCount);
+                for (int i = 1; i < endpointCount; i++) {
+                    int number = i;
+                    fleet.schedule(fleet.now + 3000 + 400 * i, () -> fleet.restartEndpoints(number, number + 1));
                 }
             }
-            case REST_LOST -> {
-                fleet.cold(0, third);
-                fleet.at(fleet.now + 3000, () -> fleet.gone(third, servers));
+            case OTHERS_REMOVED -> {
+                fleet.restartEndpoints(0, third);
+                fleet.schedule(fleet.now + 3000, () -> fleet.removeEndpoints(third, endpointCount));
             }
             default -> {
-                fleet.cold(0, third);
-                for (int i = 0; i < third * nodes; i++) {
+                fleet.restartEndpoints(0, third);
+                for (int i = 0; i < third * gatewayCount; i++) {
                     fleet.gateways[i / third].policy.setCordoned(fleet.now, "s" + i % third, true);
                     fleet.gateways[i / third].policy.setCordoned(fleet.now, "s" + i % third, false);
                 }
             }
         }
-        fleet.at(fleet.now + 2000, () -> fleet.perSecond *= 1.5);
-        for (int i = 0; restarts && i < nodes; i++) { // half of them together, the others in turn; all twice
-            int node = i;
-            fleet.at(fleet.now + (i % 2 == 0 ? 600 : 600 + 100 * i), () -> fleet.restart(node));
-            fleet.at(fleet.now + (i % 2 == 0 ? 4200 : 4200 + 120 * i), () -> fleet.restart(node));
+        fleet.schedule(fleet.now + 2000, () -> fleet.requestsPerSecond *= 1.5);
+        for (int i = 0; restarts && i < gatewayCount; i++) { // half of them together, the others in turn; all twice
+            int gatewayIndex = i;
+            fleet.schedule(fleet.now + (i % 2 == 0 ? 600 : 600 + 100 * i), () -> fleet.restart(gatewayIndex));
+            fleet.schedule(fleet.now + (i % 2 == 0 ? 4200 : 4200 + 120 * i), () -> fleet.restart(gatewayIndex));
         }
         return fleet;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 5, 20, 30})
-    void allGatewaysTogetherKeepToWhatAnEndpointInSlowStartBears(int nodes) {
-        for (Trouble trouble : Trouble.values()) {
-            for (int servers : new int[] {12, 36}) {
+    void allGatewaysTogetherDoNotOverloadAnEndpointInSlowStart(int gatewayCount) {
+        for (Disruption disruption : Disruption.values()) {
+            for (int endpointCount : new int[] {12, 36}) {
                 for (double capacity : new double[] {4, 20}) {
                     for (boolean restarts : new boolean[] {false, true}) {
-                        Fleet fleet = play(trouble, nodes, servers, capacity, restarts);
-                        fleet.to(36_000);
-                        String what = String.format(
-                                "%s, %d servers of %.0f a second, %b: %.2f of it",
-                                trouble, servers, capacity, restarts, fleet.worst);
-                        assertTrue(fleet.worst > 0 && fleet.worst <= 1, what);
+                        Fleet fleet = simulate(disruption, gatewayCount, endpointCount, capacity, restarts);
+                        fleet.advanceTo(36_000);
+                        String message = String.format(
+                                "%s, %d endpoints of %.0f requests/s, gateway restarts %b: %.2f of the allowed sends",
+                                disruption, endpointCount, capacity, restarts, fleet.worstLoadRatio);
+                        assertTrue(fleet.worstLoadRatio > 0 && fleet.worstLoadRatio <= 1, message);
                     }
                 }
             }
         }
     }
 
-    /** While others are quicker each node saves a send to each cold server: not to spend them all at once. */
+    /**
+     * While other endpoints are faster, each gateway accrues a send to each endpoint in slow start. The gateways must
+     * not spend these sends at the same time when the other endpoints are removed.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {1, 12})
-    void unusedBudgetsOfAllGatewaysAreNotSpentTogether(double capacity) {
+    void unusedBudgetsOfAllGatewaysAreNotSpentSimultaneously(double capacity) {
         Fleet fleet = new Fleet(rules(60_000), 30, 24, capacity, 0.7);
-        fleet.to(20_000);
-        fleet.cold(0, 6);
-        fleet.to(45_000);
-        fleet.perSecond *= 1.5;
-        fleet.gone(6, 24);
-        fleet.to(50_000);
-        assertTrue(fleet.worst > 0 && fleet.worst <= 1, "of it: " + fleet.worst);
+        fleet.advanceTo(20_000);
+        fleet.restartEndpoints(0, 6);
+        fleet.advanceTo(45_000);
+        fleet.requestsPerSecond *= 1.5;
+        fleet.removeEndpoints(6, 24);
+        fleet.advanceTo(50_000);
+        assertTrue(
+                fleet.worstLoadRatio > 0 && fleet.worstLoadRatio <= 1,
+                "ratio to the allowed sends: " + fleet.worstLoadRatio);
     }
 
     @Test
-    void budgetHoldsWithManyEndpointsToo() {
-        for (Trouble trouble : List.of(Trouble.A_THIRD_COLD, Trouble.REST_LOST)) {
-            Fleet fleet = play(trouble, 30, 300, 4, true);
-            fleet.to(28_000);
-            assertTrue(fleet.worst > 0 && fleet.worst <= 1, trouble + ": " + fleet.worst);
+    void budgetAlsoHoldsWithManyEndpoints() {
+        for (Disruption disruption : List.of(Disruption.THIRD_RESTARTED, Disruption.OTHERS_REMOVED)) {
+            Fleet fleet = simulate(disruption, 30, 300, 4, true);
+            fleet.advanceTo(28_000);
+            assertTrue(
+                    fleet.worstLoadRatio > 0 && fleet.worstLoadRatio <= 1,
+                    disruption + ", ratio to the allowed sends: " + fleet.worstLoadRatio);
         }
     }
 
-    /** Asked for three quarters of what they do warm; by the settings half after 4 s, all after 13. */
+    /**
+     * The load is three quarters of the warm capacity. By the settings the endpoints have about half of their capacity
+     * after 4 s and all of it after 13 s.
+     */
     @ParameterizedTest
     @ValueSource(ints = {2, 5, 20, 30})
-    void fleetThatIsBackInSlowStartIsUsed(int nodes) {
-        Fleet fleet = play(Trouble.ALL_COLD, nodes, 12, 12, false);
-        fleet.to(24_000);
-        long asked = fleet.asked;
+    void endpointsThatAreAllInSlowStartAreUsed(int gatewayCount) {
+        Fleet fleet = simulate(Disruption.ALL_RESTARTED, gatewayCount, 12, 12, false);
+        fleet.advanceTo(24_000);
+        long requests = fleet.requests;
         long served = fleet.served;
-        fleet.to(36_000);
+        fleet.advanceTo(36_000);
         assertTrue(
-                fleet.served - served > 0.6 * (fleet.asked - asked),
-                fleet.served - served + " of " + (fleet.asked - asked));
+                fleet.served - served > 0.6 * (fleet.requests - requests),
+                fleet.served - served + " requests served of " + (fleet.requests - requests));
     }
 }
--- a/src/test/java/quotagateway/policy/endpoint/ConsistentHashRingTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/ConsistentHashRingTest.java
@@ -8,7 +8,7 @@
 
 class ConsistentHashRingTest {
     @Test
-    void oneBucketMoreMovesEndpointsOnlyIntoIt() {
+    void endpointsMoveOnlyIntoAnAddedBucket() {
         int moved = 0;
         for (int i = 0; i < 10_000; i++) {
             int before = ConsistentHashRing.bucket("10.0.0." + i, 20);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void everyGatewayHasAPositionOfItsOwn() {
+    void everyGatewayHasAUniquePosition() {
         int distinct = (int) IntStream.range(0, 333)
                 .map(gateway -> ConsistentHashRing.position(gateway, 333))
                 .distinct()
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void oneGatewayMoreChangesThePositionOfOneOther() {
+    void addedGatewayChangesThePositionOfOneOther() {
         long changed = IntStream.range(0, 100)
                 .filter(gateway ->
                         ConsistentHashRing.position(gateway, 100) != ConsistentHashRing.position(gateway, 101))
--- a/src/test/java/quotagateway/policy/endpoint/CordonsTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/CordonsTest.java
@@ -50,23 +50,23 @@
                         .toList(),
                 true);
         endpoints.refresh(true, 0);
-        limiter.startWith(3);
+        limiter.initializeRate(3);
         host.take();
     }
 
     @Test
-    void cordonedEndpointIsNoMemberAndItsQueuedAttemptsAreWithdrawn() {
-        assertTrue(cordons.set("s1", true));
+    void cordonedEndpointIsNotAMemberAndItsQueuedAttemptsAreWithdrawn() {
+        assertTrue(cordons.setCordoned("s1", true));
         assertEquals(List.of("release s1", "withdraw s1"), host.take());
         assertFalse(endpoints.members().contains(endpoints.find("s1")));
-        assertTrue(cordons.set("s1", true));
-        assertEquals(List.of(), host.take(), "cordoned already");
+        assertTrue(cordons.setCordoned("s1", true));
+        assertEquals(List.of(), host.take(), "already cordoned");
     }
 
     @Test
     void uncordonedEndpointIsInSlowStartWithAFirstRequestDueSoon() {
-        cordons.set("s1", true);
-        cordons.set("s1", false);
+        cordons.setCordoned("s1", true);
+        cordons.setCordoned("s1", false);
         Endpoint endpoint = endpoints.find("s1");
         assertTrue(endpoints.members().contains(endpoint));
         assertFalse(endpoint.ramp().isWarm(clock.now()));
@@ -75,16 +75,16 @@
     }
 
     @Test
-    void endpointThatNoListHasNamedIsUnknownUnlessItWasCordoned() {
-        assertFalse(cordons.set("s9", true));
+    void unlistedEndpointIsUnknownUnlessItWasCordoned() {
+        assertFalse(cordons.setCordoned("s9", true));
         cordons.replace(Set.of("s9"));
-        assertTrue(cordons.set("s9", false));
-        assertFalse(cordons.set("s9", false), "no list has named it still");
+        assertTrue(cordons.setCordoned("s9", false));
+        assertFalse(cordons.setCordoned("s9", false), "it is still not listed");
     }
 
     @Test
-    void replacedCordonsAreTheOnlyOnes() {
-        cordons.set("s0", true);
+    void replacingCordonsUncordonsAllOtherEndpoints() {
+        cordons.setCordoned("s0", true);
         cordons.replace(Set.of("s1", "s2"));
         assertFalse(endpoints.find("s0").isCordoned());
         assertTrue(endpoints.find("s1").isCordoned());
--- a/src/test/java/quotagateway/policy/endpoint/DiscoverySubscriptionTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/DiscoverySubscriptionTest.java
@@ -19,7 +19,7 @@
         return new DiscoverySubscription(required, clock, timers, host, new Random(1));
     }
 
-    /** How long after a failure the next subscription comes. */
+    /** Reports a failure and returns the time in ms until the next subscription. */
     private double delayAfterFailure(DiscoverySubscription subscription) {
         double failedAt = clock.now();
         subscription.onFailed();
@@ -37,12 +37,12 @@
         assertEquals(List.of("subscribe"), host.take());
         for (double mean : new double[] {1000, 2000, 4000, 8000, 8000}) {
             double delay = delayAfterFailure(subscription);
-            assertTrue(delay >= mean / 2 && delay <= 1.5 * mean + 10, delay + " of " + mean);
+            assertTrue(delay >= mean / 2 && delay <= 1.5 * mean + 10, delay + " ms for a mean of " + mean);
         }
     }
 
     @Test
-    void nothingIsSubscribedToWhereListsComeUnasked() {
+    void nothingIsSubscribedIfListsComeWithoutASubscription() {
         DiscoverySubscription subscription = subscription(false);
         subscription.start();
         subscription.onFailed();
--- a/src/test/java/quotagateway/policy/endpoint/EndpointCatalogTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointCatalogTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void everyEndpointIsInOneBucket() {
+    void everyEndpointIsInExactlyOneBucket() {
         catalog.update(endpoints(0, 300, EndpointState.UP), true);
         int total = 0;
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void completeListRemovesWhatItDoesNotName() {
+    void completeListRemovesEndpointsThatItDoesNotName() {
         catalog.update(endpoints(0, 10, EndpointState.UP), true);
         catalog.update(endpoints(5, 15, EndpointState.UP), true);
         assertEquals(10, catalog.size());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void listThatWasBegunAndNeverEndedRemovesNothing() {
+    void unfinishedListRemovesNothing() {
         catalog.update(endpoints(0, 10, EndpointState.UP), true);
         catalog.beginList();
         catalog.update(endpoints(0, 2, EndpointState.UP), false);
@@ -93,11 +93,11 @@
         assertTrue(catalog.isFirstListIncomplete());
         catalog.endList();
         catalog.beginList();
-        assertFalse(catalog.isFirstListIncomplete(), "the second one");
+        assertFalse(catalog.isFirstListIncomplete(), "the second list");
     }
 
     @Test
-    void cellHoldsItsEndpointsThatAreUp() {
+    void cellContainsItsEndpointsThatAreUp() {
         catalog.update(endpoints(0, 200, EndpointState.UP), true);
         catalog.update(endpoints(10, 11, EndpointState.DRAINING), false);
         assertEquals(
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void endpointThatMovesToAnotherCellIsInThatOneAlone() {
+    void movedEndpointIsOnlyInItsNewCell() {
         catalog.update(endpoints(0, 4, EndpointState.UP), true);
         EndpointDescriptor moved = new EndpointDescriptor("s0", 7, "a", EndpointState.UP, "k", 0, 1, 0);
         catalog.update(List.of(moved), false);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void manyComingAndGoingEndpointsLeaveNoneBehind() {
+    void removedEndpointsDoNotAccumulate() {
         for (int round = 0; round < 50; round++) {
             catalog.update(endpoints(round * 100, round * 100 + 100, EndpointState.UP), true);
         }
--- a/src/test/java/quotagateway/policy/endpoint/EndpointRegistryTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointRegistryTest.java
@@ -26,7 +26,7 @@
     private final EndpointRegistry endpoints = new EndpointRegistry(
             PolicyFixtures.settings(2), new LatencyObjectives(800, 800), clock, host, new Random(1), fleetSize);
 
-    private void list(int from, int to, EndpointState state, boolean complete) {
+    private void applyList(int from, int to, EndpointState state, boolean complete) {
         endpoints.update(
                 IntStream.range(from, to)
                         .mapToObj(number -> PolicyFixtures.endpoint(number, state))
@@ -41,21 +41,21 @@
 
     @Test
     void endpointsThatAreUpBecomeMembersAndAreRetained() {
-        list(0, 3, EndpointState.UP, true);
+        applyList(0, 3, EndpointState.UP, true);
         assertEquals(List.of("s0", "s1", "s2"), members());
         assertEquals(Set.of("retain s0", "retain s1", "retain s2"), Set.copyOf(host.take()));
-        assertEquals(3, fleetSize.usualSize());
-        list(0, 3, EndpointState.UP, true);
+        assertEquals(3, fleetSize.estimatedSize());
+        applyList(0, 3, EndpointState.UP, true);
         assertEquals(List.of(), host.take(), "nothing has changed");
     }
 
     @Test
     void drainingEndpointIsReleasedWhenItsAttemptsHaveEnded() {
-        list(0, 2, EndpointState.UP, true);
+        applyList(0, 2, EndpointState.UP, true);
         host.take();
         Endpoint draining = endpoints.find("s0");
         Attempt attempt = draining.startAttempt(new ClassLatency(PolicyFixtures.READ), clock.now());
-        list(0, 1, EndpointState.DRAINING, false);
+        applyList(0, 1, EndpointState.DRAINING, false);
         assertEquals(List.of("s1"), members());
         assertEquals(List.of(), host.take());
         attempt.end(CallOutcome.OK);
@@ -65,11 +65,11 @@
 
     @Test
     void completeListWithoutAMemberEndsItsMembership() {
-        list(0, 3, EndpointState.UP, true);
-        list(1, 3, EndpointState.UP, true);
+        applyList(0, 3, EndpointState.UP, true);
+        applyList(1, 3, EndpointState.UP, true);
         assertEquals(List.of("s1", "s2"), members());
         assertEquals(2, endpoints.size());
-        assertEquals("s0", endpoints.find("s0").id(), "what was learned is kept");
+        assertEquals("s0", endpoints.find("s0").id(), "the state of a former member is kept");
         assertNull(endpoints.find("s9"));
     }
 
@@ -86,43 +86,43 @@
 
     @Test
     void noMoreThanHalfOfTheMembersMayBeEjected() {
-        list(0, 5, EndpointState.UP, true);
-        assertTrue(endpoints.canSpareOneMore());
+        applyList(0, 5, EndpointState.UP, true);
+        assertTrue(endpoints.canEjectOneMore());
         endpoints.find("s0").outlierDetector().eject(clock.now());
-        assertTrue(endpoints.canSpareOneMore());
+        assertTrue(endpoints.canEjectOneMore());
         endpoints.find("s1").outlierDetector().eject(clock.now());
-        assertFalse(endpoints.canSpareOneMore(), "three of five would be one too many");
+        assertFalse(endpoints.canEjectOneMore(), "three of five would be more than half");
     }
 
     @Test
     void drainingCordonedAndEjectedEndpointsAreUnavailable() {
-        list(0, 6, EndpointState.UP, true);
-        list(0, 1, EndpointState.DRAINING, false);
+        applyList(0, 6, EndpointState.UP, true);
+        applyList(0, 1, EndpointState.DRAINING, false);
         endpoints.find("s1").outlierDetector().eject(clock.now());
         endpoints.find("s2").setCordoned(true);
-        assertEquals(3, endpoints.unavailable(clock.now()));
-        assertEquals(2, endpoints.unavailable(clock.now() + 1000), "no longer ejected");
-        assertEquals(4, endpoints.upAndNotCordoned());
+        assertEquals(3, endpoints.unavailableCount(clock.now()));
+        assertEquals(2, endpoints.unavailableCount(clock.now() + 1000), "no longer ejected");
+        assertEquals(4, endpoints.uncordonedUpCount());
     }
 
     @Test
-    void attemptOutsideTheMembersRetainsItsEndpoint() {
-        list(0, 2, EndpointState.UP, true);
+    void attemptAtANonMemberRetainsItsEndpoint() {
+        applyList(0, 2, EndpointState.UP, true);
         host.take();
         endpoints.retainForAttempt(endpoints.find("s1"));
         assertEquals(List.of(), host.take());
-        list(1, 2, EndpointState.DRAINING, false);
+        applyList(1, 2, EndpointState.DRAINING, false);
         host.take();
         endpoints.retainForAttempt(endpoints.find("s1"));
         assertEquals(List.of("retain s1"), host.take());
     }
 
     @Test
-    void onlySoManyFormerMembersAreRemembered() {
-        list(0, 300, EndpointState.UP, true);
-        list(300, 400, EndpointState.UP, true);
+    void formerMembersBeyondTheLimitAreEvicted() {
+        applyList(0, 300, EndpointState.UP, true);
+        applyList(300, 400, EndpointState.UP, true);
         assertEquals(400, endpoints.known().size());
-        endpoints.forgetFormerMembers();
+        endpoints.evictFormerMembers();
         assertEquals(100 + 256, endpoints.known().size());
     }
 }
--- a/src/test/java/quotagateway/policy/endpoint/EndpointTest.java
+++ b/src/test/java/quotagateway/policy/endpoint/EndpointTest.java
@@ -13,13 +13,14 @@
 
 class EndpointTest {
     private final Endpoint endpoint = new Endpoint("s0", PolicyFixtures.RULES, 800);
-    private final ClassLatency read = new ClassLatency(PolicyFixtures.READ); // 100 ms in the mean
+    private final ClassLatency read = new ClassLatency(PolicyFixtures.READ); // initial mean of 100 ms
 
     @Test
-    void laterStartInTheListMeansARestart() {
-        assertFalse(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.UP, 100)), "the first one known");
-        assertFalse(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.DRAINING, 100)));
-        assertTrue(endpoint.describe(PolicyFixtures.endpoint(0, EndpointState.UP, 200)));
+    void laterStartTimeInTheListMeansARestart() {
+        assertFalse(
+                endpoint.updateDescriptor(PolicyFixtures.endpoint(0, EndpointState.UP, 100)), "the first descriptor");
+        assertFalse(endpoint.updateDescriptor(PolicyFixtures.endpoint(0, EndpointState.DRAINING, 100)));
+        assertTrue(endpoint.updateDescriptor(PolicyFixtures.endpoint(0, EndpointState.UP, 200)));
     }
 
     @Test
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void endpointOnTrialHasCapacityForOneAttempt() {
+    void endpointOnProbationHasCapacityForOneAttempt() {
         endpoint.outlierDetector().eject(0);
         assertTrue(endpoint.hasCapacity(1000));
         endpoint.startAttempt(read, 1000);
@@ -55,23 +56,23 @@
     }
 
     @Test
-    void newProcessIsJudgedAnew() {
+    void newProcessStartsWithoutLearnedState() {
         endpoint.latency().record(10, 0);
         endpoint.failures().recordFailure(PolicyFixtures.READ, 0);
         endpoint.outlierDetector().eject(0);
-        endpoint.forgetFormerProcess();
+        endpoint.resetLearnedState();
         assertEquals(1, endpoint.slowness(0));
         assertEquals(0, endpoint.failures().failureShare(PolicyFixtures.READ, 0));
         assertFalse(endpoint.isEjected(0));
     }
 
     @Test
-    void slowStartGivesARandomPartOfTheFirstSendOnce() {
+    void slowStartGrantsARandomInitialCreditOnce() {
         endpoint.startSlowStart(0, 0, new Random(1));
         assertFalse(endpoint.ramp().isWarm(0));
-        assertFalse(endpoint.slowStartBudget().allowsSend(0, 0), "less than one");
-        Random untouched = new Random(2);
-        endpoint.startSlowStart(10, 10, untouched);
-        assertEquals(new Random(2).nextDouble(), untouched.nextDouble(), "it is in slow start already");
+        assertFalse(endpoint.slowStartBudget().allowsSend(0, 0), "less than one send");
+        Random unusedRandom = new Random(2);
+        endpoint.startSlowStart(10, 10, unusedRandom);
+        assertEquals(new Random(2).nextDouble(), unusedRandom.nextDouble(), "already in slow start");
     }
 }
--- a/src/test/java/quotagateway/policy/hash/SplitMix64Test.java
+++ b/src/test/java/quotagateway/policy/hash/SplitMix64Test.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Test;
 
 class SplitMix64Test {
-    /** The reference generator's first number for seed 0 is the finisher of the golden gamma. */
+    /** The first number of the reference generator for seed 0 is the finalizer applied to the golden gamma. */
     @Test
-    void mixIsTheReferenceFinisher() {
+    void mixIsTheReferenceFinalizer() {
         assertEquals(0xe220a8397b1dcdafL, SplitMix64.mix(0x9e3779b97f4a7c15L));
         assertEquals(0, SplitMix64.mix(0));
     }
 
     @Test
-    void numbersThatDifferInOneBitDifferInAboutHalfOfTheirs() {
+    void inputsThatDifferInOneBitDifferInAboutHalfOfTheOutputBits() {
         for (int bit = 0; bit < 64; bit++) {
             int changed = Long.bitCount(SplitMix64.mix(12_345) ^ SplitMix64.mix(12_345 ^ (1L << bit)));
             assertTrue(changed >= 16 && changed <= 48, "bit " + bit + ": " + changed);
--- a/src/test/java/quotagateway/policy/health/ClassLatencyTest.java
+++ b/src/test/java/quotagateway/policy/health/ClassLatencyTest.java
@@ -9,7 +9,7 @@
     private final ClassLatency latency = new ClassLatency(PolicyFixtures.READ);
 
     @Test
-    void untilSeenAResponseTakesAnEighthOfTheObjective() {
+    void initialMeanIsAnEighthOfTheObjective() {
         assertEquals(100, latency.meanMs());
     }
 
--- a/src/test/java/quotagateway/policy/health/FailureEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/health/FailureEstimatorTest.java
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void failuresOfOneClassSayNothingOfAnother() {
+    void failuresOfOneClassDoNotAffectAnother() {
         estimator.recordFailure(READ, 0);
         assertEquals(0, estimator.failureShare(OTHER, 0));
     }
 
     @Test
-    void failuresAreForgottenByTimeAndWithTheProcess() {
+    void failuresDecayWithTimeAndAreResetForANewProcess() {
         estimator.recordFailure(READ, 0);
         assertEquals(0.25, estimator.failureShare(READ, 16_000), 1e-9);
         estimator.reset();
--- a/src/test/java/quotagateway/policy/health/LatencyEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/health/LatencyEstimatorTest.java
@@ -8,19 +8,19 @@
     private final LatencyEstimator estimator = new LatencyEstimator();
 
     @Test
-    void newEndpointIsAsSlowAsUsual() {
+    void newEndpointHasASlownessOfOne() {
         assertEquals(1, estimator.slowness(5000));
     }
 
     @Test
-    void slownessMovesAFifthTowardsASampleAndIsForgotten() {
+    void slownessMovesAFifthTowardsASampleAndDecays() {
         estimator.record(6, 1000);
         assertEquals(2, estimator.slowness(1000), 1e-9);
-        assertEquals(1.5, estimator.slowness(5000), 1e-9, "half of it after 4 s");
+        assertEquals(1.5, estimator.slowness(5000), 1e-9, "half of the distance from 1 after 4 s");
     }
 
     @Test
-    void oneSampleCountsThirtyTimesTheUsualAtMost() {
+    void singleSampleIsCappedAtThirtyTimesTheMean() {
         estimator.record(1000, 0);
         assertEquals(1 + 29 * 0.2, estimator.slowness(0), 1e-9);
     }
--- a/src/test/java/quotagateway/policy/health/OutlierDetectorTest.java
+++ b/src/test/java/quotagateway/policy/health/OutlierDetectorTest.java
@@ -9,7 +9,7 @@
 class OutlierDetectorTest {
     private final OutlierDetector detector = new OutlierDetector();
 
-    private double ejectionAt(double now) {
+    private double ejectAndMeasureMs(double now) {
         detector.eject(now);
         double until = now;
         while (detector.isEjected(until)) {
@@ -19,14 +19,14 @@
     }
 
     @Test
-    void threeFailuresInARowAskForAnEjection() {
+    void threeConsecutiveFailuresRequestAnEjection() {
         assertFalse(detector.recordFailure(1, 0));
         assertFalse(detector.recordFailure(1, 0));
         assertTrue(detector.recordFailure(1, 0));
     }
 
     @Test
-    void successForgetsFailures() {
+    void successClearsFailures() {
         detector.recordFailure(2, 0);
         detector.recordSuccess();
         assertFalse(detector.recordFailure(2, 0));
@@ -35,28 +35,28 @@
     @Test
     void ejectionsAreDoubledUpToEightSeconds() {
         double now = 0;
-        for (double length : new double[] {500, 1000, 2000, 4000, 8000, 8000}) {
-            assertEquals(length, ejectionAt(now));
-            now += length;
+        for (double lengthMs : new double[] {500, 1000, 2000, 4000, 8000, 8000}) {
+            assertEquals(lengthMs, ejectAndMeasureMs(now));
+            now += lengthMs;
         }
         detector.recordSuccess();
-        assertEquals(500, ejectionAt(now));
+        assertEquals(500, ejectAndMeasureMs(now));
     }
 
     @Test
-    void endpointOnTrialIsEjectedByOneFailureOnceItsEjectionHasEnded() {
+    void endpointOnProbationIsEjectedByOneFailureOnceItsEjectionHasEnded() {
         detector.eject(0);
-        assertTrue(detector.isOnTrial());
-        assertFalse(detector.recordFailure(0.5, 400), "ejected already");
+        assertTrue(detector.isOnProbation());
+        assertFalse(detector.recordFailure(0.5, 400), "already ejected");
         assertTrue(detector.recordFailure(0.5, 500));
         detector.recordSuccess();
-        assertFalse(detector.isOnTrial());
+        assertFalse(detector.isOnProbation());
     }
 
     @Test
-    void endpointMayHaveRestartedWhenItWasUnreachableOnTrial() {
+    void endpointMayHaveRestartedWhenItWasUnreachableOnProbation() {
         detector.recordUnreachable();
-        assertFalse(detector.mayHaveRestarted(), "may be chance");
+        assertFalse(detector.mayHaveRestarted(), "may be chance without probation");
         detector.eject(0);
         detector.recordUnreachable();
         assertTrue(detector.mayHaveRestarted());
@@ -65,12 +65,12 @@
     }
 
     @Test
-    void newProcessIsNotEjectedButStillOnTrialUntilItAnswers() {
+    void newProcessIsNotEjectedButOnProbationUntilItAnswers() {
         detector.eject(0);
         detector.onNewProcess();
         assertFalse(detector.isEjected(100));
-        assertTrue(detector.isOnTrial());
+        assertTrue(detector.isOnProbation());
         detector.reset();
-        assertFalse(detector.isOnTrial());
+        assertFalse(detector.isOnProbation());
     }
 }
--- a/src/test/java/quotagateway/policy/quota/GrantEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/quota/GrantEstimatorTest.java
@@ -62,12 +62,12 @@
         assertTrue(grants.isWorthAdmittingWithoutCounter(), "above the break-even of 1/2");
         for (int period = 0; period < 200; period++) {
             fixture.traffic.onRequest();
-            fixture.traffic.onRepeat();
+            fixture.traffic.onClientRetry();
             fixture.traffic.onSend(1);
             fixture.traffic.onRejection();
             fixture.traffic.endPeriod();
         }
-        fixture.context.limiter().startWith(100);
+        fixture.context.limiter().initializeRate(100);
         assertFalse(grants.isWorthAdmittingWithoutCounter(), "nothing is lost by a rejection");
     }
 
--- a/src/test/java/quotagateway/policy/routing/RoutingTest.java
+++ b/src/test/java/quotagateway/policy/routing/RoutingTest.java
@@ -64,7 +64,7 @@
                         .toList(),
                 true);
         endpoints.refresh(true, 0);
-        limiter.startWith(4);
+        limiter.initializeRate(4);
     }
 
     private Endpoint endpoint(int number) {
--- a/src/test/java/quotagateway/policy/slowstart/SlowStartPartsTest.java
+++ b/src/test/java/quotagateway/policy/slowstart/SlowStartComponentsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.testing.PolicyFixtures;
 
-/** The parts of slow start one by one. */
-class SlowStartPartsTest {
-    private final RecoveryRamp ramp = new RecoveryRamp(PolicyFixtures.RULES);
+/** Tests each component of slow start on its own. */
+class SlowStartComponentsTest {
+    private final SlowStartRamp ramp = new SlowStartRamp(PolicyFixtures.RULES);
     private final SlowStartBudget budget = new SlowStartBudget(PolicyFixtures.RULES);
     private final FleetSizeEstimator fleetSize = new FleetSizeEstimator();
 
@@ -19,12 +19,12 @@
     }
 
     @Test
-    void capacityGrowsInALineFromTheInitialShare() {
+    void capacityGrowsLinearlyFromTheInitialShare() {
         ramp.start(1000);
         assertEquals(0.2, ramp.warmupFraction(1000), 1e-9);
         assertEquals(0.6, ramp.warmupFraction(6000), 1e-9);
         assertTrue(ramp.isWarm(11_000));
-        assertEquals(0.2, ramp.warmupFraction(500), 1e-9, "a clock that is behind");
+        assertEquals(0.2, ramp.warmupFraction(500), 1e-9, "the clock is behind the start time");
     }
 
     @Test
@@ -56,7 +56,7 @@
     @Test
     void unusedSendsLapseBeyondTwoWindows() {
         budget.restart(0, 0);
-        budget.allowsSend(0.001, 100_000); // 100 are due, of which 4 s of the rate are kept
+        budget.allowsSend(0.001, 100_000); // 100 sends are due; the sends of 4 s at this rate are kept
         int sends = 0;
         while (budget.allowsSend(0.001, 100_000)) {
             budget.onSend();
@@ -66,17 +66,17 @@
     }
 
     @Test
-    void shrunkFleetIsTakenForItsFormerSizeForAWhile() {
+    void sizeEstimateFallsSlowlyAfterTheFleetHasShrunk() {
         fleetSize.onGrowth(100);
         for (int period = 0; period < 40; period++) { // 10 s
             fleetSize.endPeriod(50);
         }
-        assertTrue(fleetSize.usualSize() > 90, "after 10 s: " + fleetSize.usualSize());
+        assertTrue(fleetSize.estimatedSize() > 90, "after 10 s: " + fleetSize.estimatedSize());
         for (int period = 0; period < 1200; period++) { // 5 minutes
             fleetSize.endPeriod(50);
         }
-        assertEquals(50, fleetSize.usualSize(), 1);
+        assertEquals(50, fleetSize.estimatedSize(), 1);
         fleetSize.onGrowth(60);
-        assertEquals(60, fleetSize.usualSize());
+        assertEquals(60, fleetSize.estimatedSize());
     }
 }
--- a/src/test/java/quotagateway/policy/slowstart/SlowStartRateTest.java
+++ b/src/test/java/quotagateway/policy/slowstart/SlowStartRateTest.java
@@ -25,7 +25,7 @@
         return 1000 * new SlowStartRate(rules, traffic, limiter, fleetSize).sendsPerMs(warmupFraction);
     }
 
-    private void traffic(int requestsInPeriod, int sendsInPeriod) {
+    private void simulateTraffic(int requestsInPeriod, int sendsInPeriod) {
         for (int period = 0; period < 200; period++) {
             for (int i = 0; i < requestsInPeriod; i++) {
                 traffic.onRequest();
@@ -38,27 +38,28 @@
     }
 
     @Test
-    void endpointInSlowStartGetsItsPartOfWhatIsSent() {
-        traffic(10, 10);
+    void endpointInSlowStartGetsItsShareOfTheSends() {
+        simulateTraffic(10, 10);
         fleetSize.onGrowth(20);
-        assertEquals(2 * 0.5, sendsPerSecond(PolicyFixtures.RULES, 0.5), 1e-3, "40 a second to 20 endpoints");
+        assertEquals(2 * 0.5, sendsPerSecond(PolicyFixtures.RULES, 0.5), 1e-3, "40 sends per second to 20 endpoints");
     }
 
     @Test
-    void whatIsAskedForCountsAsFarAsTheSendRateAllowsIt() {
-        traffic(10, 10);
-        for (int period = 0; period < 20; period++) { // all endpoints cold: nothing is sent
+    void requestsCountAsFarAsTheSendRateAllowsThem() {
+        simulateTraffic(10, 10);
+        for (int period = 0; period < 20; period++) { // all endpoints are cold: nothing is sent
             traffic.onRequest();
             traffic.endPeriod();
         }
-        assertEquals(traffic.sendsPerSecond(), sendsPerSecond(PolicyFixtures.RULES, 1), 1e-9, "no rate is allowed");
-        limiter.startWith(100);
+        assertEquals(
+                traffic.sendsPerSecond(), sendsPerSecond(PolicyFixtures.RULES, 1), 1e-9, "the send rate is still 0");
+        limiter.initializeRate(100);
         assertEquals(traffic.requestsPerSecond() * traffic.sentShare(), sendsPerSecond(PolicyFixtures.RULES, 1), 1e-9);
     }
 
     @Test
-    void largerOverloadFactorAllowsHalfOfIt() {
-        traffic(10, 10);
+    void halfOfALargerOverloadFactorIsAllowed() {
+        simulateTraffic(10, 10);
         ServiceRules rules = new ServiceRules(16, 250, 0.2, 10_000, 6, 2000);
         assertEquals(3 * 40, sendsPerSecond(rules, 1), 1e-2);
     }
--- a/src/test/java/quotagateway/policy/statistics/StatisticsTest.java
+++ b/src/test/java/quotagateway/policy/statistics/StatisticsTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void decayingValueHalvesItsDistanceFromRestInEveryHalfLife() {
+    void decayingValueHalvesItsDistanceFromTheBaselineInEveryHalfLife() {
         DecayingValue value = new DecayingValue(1, 100, 0);
         assertEquals(1, value.valueAt(50));
         value.set(9, 100);
@@ -32,12 +32,12 @@
 
     @Test
     void objectivesCountEachClassOnce() {
-        LatencyObjectives objectives = LatencyObjectives.of(List.of(withObjective(100), withObjective(300)));
+        LatencyObjectives objectives = LatencyObjectives.of(List.of(requestClass(100), requestClass(300)));
         assertEquals(200, objectives.meanMs());
         assertEquals(300, objectives.longestMs());
     }
 
-    private static RequestClass withObjective(double ms) {
+    private static RequestClass requestClass(double ms) {
         return new RequestClass("c" + ms, Idempotency.IDEMPOTENT, RetryScope.ALL, ms, 2000, 1, 0, 0, false);
     }
 }
--- a/src/test/java/quotagateway/policy/timer/ResplitScheduleTest.java
+++ b/src/test/java/quotagateway/policy/timer/ResplitScheduleTest.java
@@ -22,11 +22,12 @@
     }
 
     /**
-     * A timer that fires exactly at a re-split asks for the next one. By rounding, the schedule answered with the very
-     * time that it was asked at: the policy then ran the same timer for ever, and the event loop never returned.
+     * Guards against an endless loop. A timer that fires exactly at a re-split requests the next one. Because of
+     * rounding, the schedule returned the time of the request itself, so that the policy ran the same timer forever
+     * and the event loop never returned.
      */
     @Test
-    void nextResplitIsAfterTheOneThatIsDueNow() {
+    void nextResplitIsLaterThanTheOneThatIsDueNow() {
         for (int gateways = 1; gateways <= 60; gateways++) {
             for (int gateway = 0; gateway < gateways; gateway++) {
                 ResplitSchedule schedule = new ResplitSchedule(PolicyFixtures.settings(gateway, gateways, true));
@@ -34,7 +35,7 @@
                 for (int i = 0; i < 40; i++) {
                     double next = schedule.nextAfter(now);
                     assertTrue(next > now, "gateway " + gateway + " of " + gateways + " at " + now);
-                    assertTrue(next - now < 250 + 1e-6, "none is left out: " + now + ", " + next);
+                    assertTrue(next - now < 250 + 1e-6, "no re-split is skipped: " + now + ", " + next);
                     now = next;
                 }
             }
--- a/src/test/java/quotagateway/policy/timer/TimerQueueTest.java
+++ b/src/test/java/quotagateway/policy/timer/TimerQueueTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void hostIsAskedOnlyForATimerThatIsEarlierThanTheOneItHas() {
+    void hostTimerIsRequestedOnlyIfItIsEarlierThanTheArmedOne() {
         timers.schedule(150, () -> {});
         assertEquals(List.of("timer 50.0"), host.take());
         timers.schedule(160, () -> {});
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void tasksRunByTimeAndThoseOfOneMomentInTheOrderOfScheduling() {
+    void tasksRunByTimeAndThenInTheOrderOfScheduling() {
         timers.schedule(130, () -> ran.add("late"));
         timers.schedule(120, () -> ran.add("first"));
         timers.schedule(120, () -> ran.add("second"));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void taskThatATaskSchedulesForNowRunsInTheSamePass() {
+    void taskScheduledForNowByAnotherTaskRunsInTheSamePass() {
         timers.schedule(110, () -> timers.schedule(110, () -> ran.add("second")));
         runDueAt(110);
         assertEquals(List.of("second"), ran);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void clockDoesNotRunBackwards() {
+    void clockNeverDecreases() {
         clock.advanceTo(90);
         assertEquals(100, clock.now());
     }
--- a/src/test/java/quotagateway/policy/traffic/SendRateLimiterTest.java
+++ b/src/test/java/quotagateway/policy/traffic/SendRateLimiterTest.java
@@ -19,7 +19,7 @@
     private final SendRateLimiter limiter = new SendRateLimiter(
             PolicyFixtures.settings(2), new LatencyObjectives(800, 800), clock, new TimerQueue(clock, host), traffic);
 
-    private void requestsInEachPeriod(int requests, int periods) {
+    private void recordPeriods(int requests, int periods) {
         for (int period = 0; period < periods; period++) {
             for (int i = 0; i < requests; i++) {
                 traffic.onRequest();
@@ -29,14 +29,14 @@
     }
 
     @Test
-    void startAllowsTwoAttemptsInFlightAtEachEndpointForAllGatewaysTogether() {
-        limiter.startWith(10);
+    void initialRateAllowsTwoAttemptsInFlightAtEachEndpointForAllGatewaysTogether() {
+        limiter.initializeRate(10);
         assertEquals(100, limiter.ratePerSecond(), "2 x 10 endpoints / 2 gateways / 100 ms");
     }
 
     @Test
-    void usedUpPermitsComeBackAtTheRateAndWakeThePolicy() {
-        limiter.startWith(10);
+    void permitsAreRefilledAtTheRateAndWakeThePolicy() {
+        limiter.initializeRate(10);
         for (int i = 0; i < 25; i++) {
             assertTrue(limiter.hasPermit(), "permit " + i);
             limiter.onSend();
@@ -44,15 +44,15 @@
         assertFalse(limiter.hasPermit());
         assertEquals(List.of("timer 10.0"), host.take());
         assertFalse(limiter.hasPermit());
-        assertEquals(List.of(), host.take(), "asked for once");
+        assertEquals(List.of(), host.take(), "requested once");
         clock.advanceTo(10);
         assertTrue(limiter.hasPermit());
     }
 
     @Test
     void lateAttemptsLowerTheRateByThreeStepsAndTimelyResponsesRaiseItByOne() {
-        requestsInEachPeriod(25, 10); // 100 a second: the step is the least, 3 %
-        limiter.startWith(10);
+        recordPeriods(25, 10); // 100 requests per second: the step is the smallest, 3 %
+        limiter.initializeRate(10);
         limiter.onLateAttempt();
         assertEquals(100 * Math.pow(0.97, 3), limiter.ratePerSecond(), 1e-9);
         limiter.onTimelyResponse();
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void rateStaysBetweenAnEighthAndTwiceOfWhatIsAskedFor() {
-        requestsInEachPeriod(25, 10);
+    void rateStaysBetweenAnEighthAndTwiceTheRequestRate() {
+        recordPeriods(25, 10);
         for (int i = 0; i < 200; i++) {
             limiter.onTimelyResponse();
         }
--- a/src/test/java/quotagateway/policy/traffic/TrafficMeterTest.java
+++ b/src/test/java/quotagateway/policy/traffic/TrafficMeterTest.java
@@ -9,7 +9,7 @@
 class TrafficMeterTest {
     private final TrafficMeter traffic = new TrafficMeter();
 
-    private void period(int requests, int sends) {
+    private void recordPeriod(int requests, int sends) {
         for (int i = 0; i < requests; i++) {
             traffic.onRequest();
         }
@@ -20,57 +20,57 @@
     }
 
     @Test
-    void firstPeriodsCountEvenlyInTheRequestRate() {
-        period(10, 0);
+    void firstPeriodsHaveEqualWeightInTheRequestRate() {
+        recordPeriod(10, 0);
         assertEquals(40, traffic.requestsPerSecond());
-        period(20, 0);
+        recordPeriod(20, 0);
         assertEquals(60, traffic.requestsPerSecond());
     }
 
     @Test
-    void ratesComeToWhatEveryPeriodHas() {
+    void ratesConvergeUnderConstantTraffic() {
         for (int i = 0; i < 300; i++) {
-            period(10, 5);
+            recordPeriod(10, 5);
         }
         assertEquals(40, traffic.requestsPerSecond(), 1e-6);
         assertEquals(20, traffic.sendsPerSecond(), 1e-6);
         assertEquals(0.5, traffic.sentShare(), 1e-3);
-        assertEquals(1, traffic.attemptsInFlight(), 1e-6, "20 a second of 50 ms each");
+        assertEquals(1, traffic.attemptsInFlight(), 1e-6, "20 sends per second of 50 ms each");
     }
 
     @Test
-    void sentShareIsNotMovedByPeriodsWithoutRequests() {
+    void sentShareIsUnchangedByPeriodsWithoutRequests() {
         double before = traffic.sentShare();
-        period(0, 0);
+        recordPeriod(0, 0);
         assertEquals(before, traffic.sentShare());
     }
 
     @Test
-    void warmUpEndsAfterASecond() {
+    void warmUpEndsAfterFourPeriods() {
         for (int i = 0; i < 4; i++) {
             assertTrue(traffic.isWarmingUp());
-            period(1, 1);
+            recordPeriod(1, 1);
         }
         assertFalse(traffic.isWarmingUp());
         assertEquals(4, traffic.periods());
     }
 
     @Test
-    void partOfTheRejectedRequestsIsSentLater() {
+    void shareOfTheRejectedRequestsIsEventuallySent() {
         TrafficMeter traffic = new TrafficMeter();
-        assertEquals(0, traffic.sentLaterShare(), "nothing was rejected yet");
+        assertEquals(0, traffic.eventuallySentShare(), "nothing has been rejected yet");
         for (int period = 0; period < 1000; period++) {
             for (int i = 0; i < 4; i++) {
                 traffic.onRequest();
             }
-            traffic.onRepeat();
+            traffic.onClientRetry();
             traffic.onRejection();
             traffic.onRejection();
             traffic.onSend(1);
             traffic.onSend(1);
             traffic.endPeriod();
         }
-        // half of the rejected come again and half of all are sent: 1/4 + 1/16 + 1/64 + ...
-        assertEquals(1.0 / 3, traffic.sentLaterShare(), 1e-3);
+        // half of the rejected requests are retried and half of all requests are sent: 1/4 + 1/16 + 1/64 + ...
+        assertEquals(1.0 / 3, traffic.eventuallySentShare(), 1e-3);
     }
 }
