--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -23,13 +23,13 @@
 import quotagateway.startup.StartupTimeline;
 
 /**
- * The command line of the gateway. It is parsed by hand: a parser library was measured at 0.19 s of CPU, about half of
- * what a whole start takes, and there are three commands without options.
+ * The command line of the gateway. It is parsed without a library: a parser library was measured at 0.19 s of CPU,
+ * about half of a complete start, and there are only three commands, without options.
  */
 public final class Main {
-    /** Exit code where the simulator's input could not be understood, or the gateway could not start. */
+    /** Exit code if the simulator's input is malformed, or the gateway cannot start. */
     private static final int EXIT_FAILED = 1;
-    /** Exit code of a wrong command line or configuration. */
+    /** Exit code if the command line or the configuration is wrong. */
     private static final int EXIT_USAGE = 2;
 
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
@@ -39,17 +39,17 @@
 
             serve           run one gateway, configured by the file that EDGE_CONFIG names
             simulate        make the same decisions for the simulator, on standard input and output
-            record-startup  start and stop a gateway among stand-ins, for the archive of loaded classes
+            record-startup  start and stop a gateway among stand-ins, to create the class archive
 
-            SIGHUP makes a serving gateway read the addresses of discovery and the counter again;
-            SIGTERM makes it answer what it has accepted and exit.
+            SIGHUP makes a serving gateway reload the addresses of discovery and the counter;
+            SIGTERM makes it respond to all accepted requests and exit.
             """;
 
     private static final ReloadSignal RELOAD_SIGNAL = new ReloadSignal();
 
     private Main() {}
 
-    /** Runs one command; a wrong one is reported in one line, with exit code 2. */
+    /** Runs one command; a wrong command line is reported in one line, with exit code 2. */
     public static void main(String[] args) throws IOException {
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> serve();
@@ -70,18 +70,19 @@
     }
 
     private static void serve() throws IOException {
-        RELOAD_SIGNAL.install(); // before all else: until then a SIGHUP ends the process
+        RELOAD_SIGNAL.install(); // first, as a SIGHUP before this ends the process
         StartupTimeline.phaseEnded("JVM");
         startGateway(System.getenv());
     }
 
-    /** The same start among stand-ins; the JVM writes the class archive when the process exits. */
+    /** Runs the same start among stand-ins; the JVM writes the class archive when the process exits. */
     private static void recordStartup() throws IOException {
         try (StartupRecording recording = new StartupRecording()) {
             RELOAD_SIGNAL.install();
             StartupTimeline.phaseEnded("JVM");
             GatewayNode node = startGateway(recording.environment());
-            recording.exercise((InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
+            recording.sendSampleCalls(
+                    (InetSocketAddress) node.listenAddress(), (InetSocketAddress) node.adminAddress());
             System.exit(0);
         }
     }
@@ -100,14 +101,14 @@
     }
 
     private static GatewayNode startGateway(Map<String, String> environment) throws IOException {
-        // First of all: by itself Netty searches every jar for three other logging libraries that are not there.
+        // First, as Netty would otherwise search every jar for three other logging libraries, which are not there.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         GatewayConfig config = readConfig(environment);
         StartupTimeline.phaseEnded("configuration");
         JitWarmup.run(config.settings(), Policy::new);
         StartupTimeline.phaseEnded("warm-up");
         GatewayNode node = new GatewayNode(config, Policy::new);
-        // Both signals are handled before the node listens: whoever sees it come up may send one at that moment.
+        // Both signals are handled before the node listens: a process that waits for that may send one immediately.
         Runtime.getRuntime().addShutdownHook(new Thread(node::drain, "drain"));
         RELOAD_SIGNAL.setAction(() -> node.reload(() -> GatewayConfig.reload(System.getenv())));
         try {
@@ -116,7 +117,7 @@
             System.err.println("start: " + e.getMessage());
             Runtime.getRuntime().halt(EXIT_FAILED); // nothing was accepted, so there is nothing to drain
         }
-        StartupTimeline.log("bind");
+        StartupTimeline.finish("bind");
         return node;
     }
 
--- a/src/main/java/quotagateway/lifecycle/CloseReason.java
+++ b/src/main/java/quotagateway/lifecycle/CloseReason.java
@@ -1,48 +1,48 @@
 package quotagateway.lifecycle;
 
 /**
- * Why a connection was closed. The names are labels of the metrics (in lower case) and stand in the event log, so they
- * are fixed.
+ * Why a connection was closed. The names are fixed, as they are labels of the metrics (in lower case) and appear in the
+ * event log.
  */
 public enum CloseReason {
-    /** The peer closed or reset it: the reason where this node gave none. */
+    /** The peer closed or reset the connection; the reason if this node gave none. */
     CLOSED_BY_PEER,
     /** An I/O error, or a fault in a handler. */
     ERROR,
 
-    // ---- clients' connections ----
+    // ---- client connections ----
 
-    /** What the client sent could not be read, or did not become a whole command in time. */
+    /** What the client sent could not be read, or did not become a complete command in time. */
     MALFORMED,
-    /** At the limit on connections, an idle one was closed for a new one. */
+    /** At the limit on connections, a connection without open requests was closed for a new one. */
     EVICTED,
-    /** Idle during a shutdown. */
+    /** The connection was idle during a shutdown. */
     SHUTDOWN_IDLE,
-    /** During a shutdown, behind its last response. */
+    /** The last response on the connection was written during a shutdown. */
     SHUTDOWN_ANSWERED,
-    /** The large value of a response ended before it was whole: the client cannot be told otherwise. */
+    /** The large value of a response ended before it was complete; only the close tells the client. */
     VALUE_BROKEN_OFF,
-    /** The client did not read what was written to it. */
+    /** The client did not read the data written to it. */
     UNREAD,
-    /** The client did not close its side after this node had closed its own. */
+    /** The client did not close its side in time after this node had closed its own. */
     LINGER_OVER,
 
     // ---- connections to endpoints ----
 
-    /** Idle for longer than endpoints have been seen to keep idle connections open. */
+    /** The connection was idle for longer than endpoints were observed to keep idle connections open. */
     IDLE_LIMIT,
-    /** Idle for nearly as long as the configuration says that endpoints keep idle connections open. */
+    /** The connection was idle for nearly as long as endpoints keep idle connections open by the configuration. */
     RETIRED,
-    /** Its endpoint is no longer in use. */
+    /** The endpoint is no longer in use. */
     SERVER_NOT_USED,
-    /** Idle, and another endpoint needed the descriptor. */
+    /** The connection was idle, and a connection to another endpoint needed its descriptor. */
     ROOM,
-    /** Its attempt was abandoned: the response to that would be taken for the next one's. */
+    /** The attempt was abandoned: its response would be taken for that of the next attempt. */
     ATTEMPT_GIVEN_UP,
-    /** The endpoint sent something that is no response to a request. */
+    /** The endpoint sent data that is not a response to a request. */
     UNASKED,
-    /** The endpoint's response could not be read, or did not come whole. */
+    /** The endpoint's response could not be read, or was incomplete. */
     UNREADABLE,
-    /** Nobody waits any more for the large value that comes on it. */
+    /** No client waits any more for the large value that the endpoint sends. */
     VALUE_NOT_WANTED
 }
--- a/src/main/java/quotagateway/lifecycle/Invariant.java
+++ b/src/main/java/quotagateway/lifecycle/Invariant.java
@@ -1,17 +1,17 @@
 package quotagateway.lifecycle;
 
 /**
- * What holds at any time, whatever clients and endpoints do: a violation is a fault of this program. The names are
- * labels of the metrics (in lower case) and stand in the event log, so they are fixed.
+ * Properties that hold regardless of what clients and endpoints do; a violation is a fault of this program. The names
+ * are fixed, as they are labels of the metrics (in lower case) and appear in the event log.
  */
 public enum Invariant {
     /** A request gets one final response. */
     ONE_ANSWER,
-    /** A response comes within half a second of its client's timeout. */
+    /** A response is given no later than 0.5 s after its client's timeout. */
     ANSWERED_IN_TIME,
-    /** An attempt is written within a tenth of a second of the end of its request. */
+    /** An attempt is written no later than 0.1 s after the end of its request. */
     SENT_WITHIN_REQUEST,
-    /** A client's connection that this node closes has no open requests. */
+    /** A client connection that this node closes has no open requests. */
     CLOSED_OWING_NOTHING,
     /** A process that ends by itself has no open requests. */
     ENDED_OWING_NOTHING,
--- a/src/main/java/quotagateway/lifecycle/NodeState.java
+++ b/src/main/java/quotagateway/lifecycle/NodeState.java
@@ -1,13 +1,13 @@
 package quotagateway.lifecycle;
 
-/** The states of a node, in the order in which they are entered; some may be left out, none is entered twice. */
+/** The states of a node, in the order in which they are entered; a state may be skipped, and none is entered twice. */
 public enum NodeState {
-    /** Comes up, and does not listen yet. */
+    /** The node starts and does not listen yet. */
     STARTING,
-    /** Listens and accepts requests. */
+    /** The node listens and accepts requests. */
     SERVING,
-    /** Has been told to end: responds to all open requests, and to those that still come. */
+    /** The node has been told to shut down: it responds to all open requests, and to those that still arrive. */
     DRAINING,
-    /** Owes no response: the process may end. */
+    /** The node owes no response: the process may end. */
     ENDED
 }
--- a/src/main/java/quotagateway/lifecycle/RequestOutcome.java
+++ b/src/main/java/quotagateway/lifecycle/RequestOutcome.java
@@ -1,15 +1,15 @@
 package quotagateway.lifecycle;
 
-/** How a request has ended for its client. One that its client has abandoned has no outcome. */
+/** How a request ended for its client. A request whose client has disconnected has no outcome. */
 public enum RequestOutcome {
-    /** An endpoint's response was passed on. */
+    /** The response of an endpoint was forwarded. */
     FULFILLED("fulfilled"),
-    /** It was rejected without having been executed. */
+    /** The request was rejected without being executed. */
     THROTTLED("throttled"),
-    /** Its response is an error; it may have been executed. */
+    /** The response is an error; the request may have been executed. */
     FAULTED("faulted");
 
-    /** Its label in the metrics. */
+    /** The label of the outcome in the metrics. */
     public final String label;
 
     RequestOutcome(String label) {
--- a/src/main/java/quotagateway/log/EventLog.java
+++ b/src/main/java/quotagateway/log/EventLog.java
@@ -4,37 +4,37 @@
 import java.util.ArrayDeque;
 
 /**
- * The event log of a gateway. The last events are kept in memory; from the beginning of a shutdown on each event is
- * written as it happens, as a kill leaves no time to write them later. {@code EDGE_LOG=all} in the environment writes
- * every event from the start. It is written by hand rather than with a logging library, whose classes would cost every
- * start (see {@link quotagateway.startup.StartupTimeline}). Used on the event loop alone.
+ * The event log of a gateway. Recent events are kept in memory; from the beginning of a shutdown, each event is written
+ * as it happens, as SIGKILL leaves no time to write it later. {@code EDGE_LOG=all} in the environment writes every
+ * event from the start. The log uses no logging library, as its classes would slow down every start (see {@link
+ * quotagateway.startup.StartupTimeline}). All methods are called on the event loop.
  */
 public final class EventLog {
-    /** Events that are kept to explain a later violation. */
+    /** Number of events that are kept to explain a later violation. */
     private static final int RECENT_EVENTS = 256;
-    /** Lines that a process writes at the most: a flood would cost more than it explains. */
+    /** The most lines that a process writes: a flood would cost more than it explains. */
     private static final int MAX_LINES = 4_000;
-    /** The same where every event is asked for. */
+    /** The most lines that a process writes if every event is requested. */
     private static final int MAX_LINES_ALL = 400_000;
 
-    private static final String VARIABLE = "EDGE_LOG";
+    private static final String LOG_VARIABLE = "EDGE_LOG";
     private static final String ALL_EVENTS = "all";
 
     private final PrintStream out;
     private final ArrayDeque<Entry> recent = new ArrayDeque<>(RECENT_EVENTS);
-    private final StringBuilder unwritten = new StringBuilder();
+    private final StringBuilder pendingText = new StringBuilder();
     private final int maxLines;
     private boolean writesImmediately;
-    private int lines;
+    private int linesWritten;
 
-    /** Writes to a stream, which stays the caller's to close. */
+    /** Creates a log that writes to a stream, which the caller closes. */
     public EventLog(PrintStream out) {
         this.out = out;
-        writesImmediately = ALL_EVENTS.equals(System.getenv(VARIABLE));
+        writesImmediately = ALL_EVENTS.equals(System.getenv(LOG_VARIABLE));
         maxLines = writesImmediately ? MAX_LINES_ALL : MAX_LINES;
     }
 
-    /** From here on events are written as they happen. */
+    /** From now on events are written as they happen. */
     public void writeImmediately() {
         writesImmediately = true;
     }
@@ -52,8 +52,8 @@
         recent.add(entry);
     }
 
-    /** Writes the kept events of a request: what led to an event that needs an explanation. */
-    public void explain(String request) {
+    /** Writes the kept events of a request, to explain a later event. */
+    public void writeEventsOf(String request) {
         for (Entry entry : recent) {
             if (request.equals(entry.event.request())) {
                 write(entry);
@@ -61,18 +61,18 @@
         }
     }
 
-    /** Writes out what the events of this round have left. */
+    /** Flushes the lines that the events of this round have added. */
     public void flush() {
-        if (unwritten.length() > 0) {
-            out.print(unwritten);
+        if (pendingText.length() > 0) {
+            out.print(pendingText);
             out.flush();
-            unwritten.setLength(0);
+            pendingText.setLength(0);
         }
     }
 
     private void write(Entry entry) {
-        if (lines++ < maxLines) {
-            entry.appendTo(unwritten);
+        if (linesWritten++ < maxLines) {
+            entry.appendTo(pendingText);
         }
     }
 
--- a/src/main/java/quotagateway/log/NodeEvent.java
+++ b/src/main/java/quotagateway/log/NodeEvent.java
@@ -11,15 +11,15 @@
 import quotagateway.policy.api.FailureReason;
 
 /**
- * What the event log records, one line an event in the form {@code name key=value ...}; requests go by their client's
- * id. The lines are put together by hand: a record's own {@code toString} is linked at run time, which every start
- * would pay for.
+ * An event of the event log, written as one line of the form {@code name key=value ...}; requests appear with their
+ * client's id. The lines are concatenated by hand, as a record's own {@code toString} is linked at run time, which
+ * would slow down every start.
  */
 public sealed interface NodeEvent {
-    /** The line without its time. */
+    /** Returns the line without its time. */
     String text();
 
-    /** The client's id of the request that this is about; null where it is about none. */
+    /** The client's id of the request that the event concerns; null if it concerns none. */
     default String request() {
         return null;
     }
@@ -27,12 +27,13 @@
     /**
      * The gateway has entered a state.
      *
-     * @param answersDueInMs how long until all responses are due, 0 where there is no such time
+     * @param responsesDueInMs time until all responses are due, 0 if the state has no such time
      */
-    record StateEntered(NodeState state, double answersDueInMs) implements NodeEvent {
+    record StateEntered(NodeState state, double responsesDueInMs) implements NodeEvent {
         @Override
         public String text() {
-            return "state to=" + state + (answersDueInMs > 0 ? " answers_due_in_ms=" + Math.round(answersDueInMs) : "");
+            return "state to=" + state
+                    + (responsesDueInMs > 0 ? " answers_due_in_ms=" + Math.round(responsesDueInMs) : "");
         }
     }
 
@@ -40,8 +41,8 @@
      * A request was accepted.
      *
      * @param connection number of the client's connection
-     * @param connectionAgeMs how long that had been open
-     * @param commandsBefore commands that came on it before
+     * @param connectionAgeMs how long the connection had been open
+     * @param commandsBefore number of earlier commands on the connection
      * @param timeoutMs how long the policy has for the request
      */
     record RequestAccepted(
@@ -60,7 +61,7 @@
         }
     }
 
-    /** An attempt goes out; the previous outcome is that of the attempt before it, null for the first. */
+    /** An attempt is sent; the previous outcome is that of the attempt before it, null for the first one. */
     record AttemptSent(String request, int attempt, String endpoint, CallOutcome previousOutcome) implements NodeEvent {
         @Override
         public String text() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /** An attempt has ended, so long after it was sent. */
+    /** An attempt has ended, {@code tookMs} after it was sent. */
     record AttemptEnded(String request, int attempt, String endpoint, CallOutcome outcome, double tookMs)
             implements NodeEvent {
         @Override
@@ -79,7 +80,7 @@
         }
     }
 
-    /** A request has its final response; the reason says why it was not served, and is null where it was. */
+    /** A request has its final response; the reason says why it was not served, and is null if it was. */
     record RequestCompleted(String request, RequestOutcome outcome, FailureReason reason) implements NodeEvent {
         @Override
         public String text() {
@@ -96,7 +97,7 @@
         }
     }
 
-    /** A client's connection has ended, with so many commands unanswered. */
+    /** A client's connection has ended, with this number of unanswered commands. */
     record ClientConnectionClosed(long connection, CloseReason reason, double ageMs, int commands, int unanswered)
             implements NodeEvent {
         @Override
@@ -114,7 +115,7 @@
         }
     }
 
-    /** A step of a call to discovery, and the version of the list that it asked from or was told; -1 for none. */
+    /** A step of a call to discovery, with the list version that the call requested or received; -1 for none. */
     record DiscoveryCall(InetSocketAddress address, Step step, long version) implements NodeEvent {
         /** The steps of a call. */
         public enum Step {
@@ -136,7 +137,7 @@
         }
     }
 
-    /** An endpoint drains or was removed, by its list. */
+    /** An endpoint is draining or was removed, according to the endpoint list. */
     record EndpointLeaving(String endpoint, EndpointState state) implements NodeEvent {
         @Override
         public String text() {
@@ -152,7 +153,7 @@
         }
     }
 
-    /** An invariant of this program was violated; the request is null where it is about none. */
+    /** An invariant of this program was violated; the request is null if the violation concerns none. */
     record InvariantViolated(Invariant invariant, String request) implements NodeEvent {
         @Override
         public String text() {
@@ -160,7 +161,7 @@
         }
     }
 
-    /** The event loop ran a timer so long after it was due. */
+    /** The event loop ran a timer {@code lateMs} after it was due. */
     record EventLoopLate(double lateMs) implements NodeEvent {
         @Override
         public String text() {
--- a/src/main/java/quotagateway/node/ActiveRequest.java
+++ b/src/main/java/quotagateway/node/ActiveRequest.java
@@ -18,9 +18,9 @@
 import quotagateway.upstream.UpstreamRequest;
 
 /**
- * A request of a client, from its last byte to the end of its last attempt. It is first completed, when its client
- * needs nothing of it any more, and then released, when none of its attempts is in flight either; {@link
- * RequestTable} does both. This class holds the state, and passes on what connections tell it.
+ * A client's request, from its acceptance to the end of its last attempt. It is completed first, when its client needs
+ * nothing more from it, and released once none of its attempts is in flight either; {@link RequestTable} does both.
+ * This class holds the request's state and forwards the events of its connections.
  */
 final class ActiveRequest implements ClientRequest, UpstreamRequest {
     private static final double NOT_COMPLETED = Double.MAX_VALUE;
@@ -41,10 +41,10 @@
     /**
      * Keeps the message until {@link #release}.
      *
-     * @param id the node's number for it, by which the policy names it
+     * @param id the number by which the node and the policy identify the request
      * @param message the command as it was read
      * @param command the same command, parsed
-     * @param body the large value that comes with it and is passed through, or null
+     * @param body the large value that is streamed behind the command, or null
      */
     ActiveRequest(
             RequestTable requests,
@@ -63,10 +63,10 @@
         this.command = command;
         this.body = body;
         this.deadline = deadline;
-        bufferedBytes = bytesOf(message) + (body == null ? 0 : RequestBody.MAX_BUFFERED_BYTES);
+        bufferedBytes = argumentBytes(message) + (body == null ? 0 : RequestBody.MAX_BUFFERED_BYTES);
     }
 
-    private static int bytesOf(ArrayRedisMessage message) {
+    private static int argumentBytes(ArrayRedisMessage message) {
         int bytes = 0;
         for (RedisMessage argument : message.children()) {
             bytes += ((FullBulkStringRedisMessage) argument).content().readableBytes();
@@ -78,7 +78,7 @@
         return id;
     }
 
-    /** The id that the client gave it. */
+    /** The id that the client gave the request. */
     String clientId() {
         return command.id();
     }
@@ -95,37 +95,37 @@
         return deadline;
     }
 
-    /** What its values take at the most (bytes), from its start to its release. */
+    /** The upper bound (bytes) on the memory that the values of the request take from its start to its release. */
     int bufferedBytes() {
         return bufferedBytes;
     }
 
-    // ---- its client ----
+    // ---- client ----
 
-    /** Whether it has had its response, or its client has disconnected. */
+    /** Whether the request has its response, or its client has disconnected. */
     boolean isCompleted() {
         return completedAtMs != NOT_COMPLETED;
     }
 
-    /** How long (ms) it has been completed, 0 where it is not. */
-    double completedForMs(double now) {
+    /** Returns the time (ms) since the request was completed, 0 if it is not. */
+    double msSinceCompletion(double now) {
         return isCompleted() ? now - completedAtMs : 0;
     }
 
-    /** Whether the client's connection has ended, also where that has not been reported yet. */
+    /** Whether the client's connection has ended, even if that has not been reported yet. */
     boolean isClientDisconnected() {
         return slot.isDisconnected();
     }
 
-    /** From here on the connection reports to this request what happens to it. */
+    /** Registers the request for the events of its client's connection. */
     void attachToSlot() {
         slot.attachRequest(this);
     }
 
     /**
-     * Completes it: from here on what happens to its connection does not concern it, and what has not been sent of its
-     * body never is. Its deadline stays only where attempts are in flight, to time them out. Called once, by {@link
-     * RequestTable}.
+     * Completes the request: events of its client's connection no longer reach it, and the part of its body that has
+     * not been sent is never sent. The deadline stays only while attempts are in flight, to time them out. Called once,
+     * by {@link RequestTable}.
      */
     void complete(double now) {
         completedAtMs = now;
@@ -133,7 +133,7 @@
             boolean partlyReceived = !body.isComplete();
             body.discard();
             if (partlyReceived) {
-                attemptHandler.cancelAllSoon(this); // what an endpoint has of it cannot become a command
+                attemptHandler.cancelAllAfterEvent(this); // the endpoint can never receive the complete command
             }
         }
         slot.detachRequest();
@@ -142,12 +142,12 @@
         }
     }
 
-    /** Whether it is completed and none of its attempts is in flight: nothing will happen to it any more. */
-    boolean isSettled() {
+    /** Whether the request is completed and none of its attempts is in flight, so that no more events follow. */
+    boolean isFinished() {
         return isCompleted() && attemptsInFlight == 0;
     }
 
-    /** Gives back what it holds. Called once, by {@link RequestTable}, when it is settled. */
+    /** Releases the resources of the request. Called once, by {@link RequestTable}, when the request is finished. */
     void release() {
         deadline.cancel();
         ReferenceCountUtil.release(message);
@@ -163,9 +163,9 @@
         requests.onConnectionMalformed(this);
     }
 
-    // ---- its attempts ----
+    // ---- attempts ----
 
-    /** All attempts so far, in their order. */
+    /** All attempts so far, in the order in which they were started. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -179,12 +179,12 @@
         attemptsInFlight--;
     }
 
-    /** Whether its body has gone out with an attempt, or been dropped: no other attempt can send it. */
+    /** Whether an attempt has begun to send the body, or the body was discarded; no other attempt can send it then. */
     boolean isBodyConsumed() {
         return body != null && body.isConsumed();
     }
 
-    /** Drops what still comes of a body whose attempt has failed: there is nobody to send it to. */
+    /** Discards the rest of a body whose attempt has failed, as no other attempt can send it. */
     void discardConsumedBody() {
         if (isBodyConsumed()) {
             body.discard();
--- a/src/main/java/quotagateway/node/AttemptHandler.java
+++ b/src/main/java/quotagateway/node/AttemptHandler.java
@@ -13,11 +13,11 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * The attempts of requests at endpoints: sends them as far as the guard allows, and tells the policy how they end.
- * All of it runs on the event loop.
+ * Sends the attempts of requests to endpoints as far as the guard allows, and reports their ends to the policy. All
+ * methods are called on the event loop.
  */
 final class AttemptHandler {
-    /** No units are reported with a response: the policy goes by those that were asked for. */
+    /** Responses report no actual units; the policy counts the requested ones. */
     private static final int NO_ACTUAL_UNITS = 0;
 
     private final EventLoopContext loop;
@@ -42,12 +42,12 @@
         this.requests = requests;
     }
 
-    // ---- from the policy ----
+    // ---- actions of the policy ----
 
     /**
-     * Sends an attempt. One that the guard denies ends as not sent, like any other behind the event that decided it.
+     * Sends an attempt. An attempt that the guard denies ends as not sent, after the current event.
      *
-     * @param timeoutAtMs when the attempt times out, 0 for no time of its own
+     * @param timeoutAtMs when the attempt times out (ms of the loop's clock), 0 if it has no timeout of its own
      */
     void send(ActiveRequest request, String endpoint, double timeoutAtMs) {
         int number = request.attempts().size();
@@ -67,13 +67,13 @@
         endpoints.send(attempt);
     }
 
-    /** Cancels an attempt, behind the event that decided it. */
-    void cancelSoon(Attempt attempt) {
+    /** Cancels an attempt, after the current event. */
+    void cancelAfterEvent(Attempt attempt) {
         loop.execute(() -> endpoints.abandon(attempt, CallOutcome.CANCELLED));
     }
 
-    /** Cancels all attempts that the request will have by the end of this event. */
-    void cancelAllSoon(ActiveRequest request) {
+    /** Cancels all attempts that the request has at the end of the current event. */
+    void cancelAllAfterEvent(ActiveRequest request) {
         loop.execute(() -> {
             for (Attempt attempt : request.attempts()) {
                 endpoints.abandon(attempt, CallOutcome.CANCELLED);
@@ -81,7 +81,7 @@
         });
     }
 
-    // ---- from the endpoint's connection ----
+    // ---- events of the endpoint's connection ----
 
     /** Whether the guard denies an attempt now; each denial is counted. */
     boolean denies(ActiveRequest request, Attempt attempt) {
@@ -93,17 +93,17 @@
         return true;
     }
 
-    /** The last byte of an attempt is written. */
+    /** The last byte of an attempt has been written. */
     void onWritten(ActiveRequest request) {
         telemetry.onAttemptWritten();
-        guard.onAttemptWritten(request.clientId(), request.completedForMs(loop.now()));
+        guard.onAttemptWritten(request.clientId(), request.msSinceCompletion(loop.now()));
     }
 
     /**
      * An attempt has ended.
      *
-     * @param value the response's value where it was successful, else null; the caller releases it
-     * @param load the load report that came with it
+     * @param value the value of the response if the attempt succeeded, else null; the caller releases it
+     * @param load the load report of the response
      */
     void onEnded(ActiveRequest request, Attempt attempt, CallOutcome outcome, RedisMessage value, double[] load) {
         request.onAttemptFinished();
@@ -115,15 +115,16 @@
         }
         attempt.recordOutcome(outcome);
         telemetry.onAttemptEnded(request.command(), attempt, outcome, now - attempt.sentAt());
-        if (!tellPolicyOfEnd(request, attempt, now, load)) {
-            requests.failUndecided(request);
+        if (!reportEndToPolicy(request, attempt, now, load)) {
+            requests.failWithoutDecision(request);
         }
-        requests.settle(request);
+        requests.releaseIfFinished(request);
     }
 
     /**
-     * A large value has begun to come, which ends the attempt: how long its client takes to read it says nothing of
-     * the endpoint. Returns the response that passes it on, or null where nobody waits for it.
+     * An endpoint has begun to send a large value, which ends the attempt: the time that the client takes to read the
+     * value says nothing about the endpoint. Returns the response that forwards the value, or null if the request is
+     * completed.
      *
      * @param length of the value (bytes)
      */
@@ -132,15 +133,16 @@
         double now = loop.now();
         attempt.recordOutcome(CallOutcome.OK);
         telemetry.onAttemptEnded(request.command(), attempt, CallOutcome.OK, now - attempt.sentAt());
-        StreamedResponse stream = request.isCompleted() ? null : requests.respondByStream(request, length, source);
-        tellPolicyOfEnd(request, attempt, now, EndpointPool.NO_LOAD); // the response stands, whatever becomes of it
-        requests.settle(request);
+        StreamedResponse stream = request.isCompleted() ? null : requests.respondWithStream(request, length, source);
+        // The response is kept even if the policy fails.
+        reportEndToPolicy(request, attempt, now, EndpointPool.NO_LOAD);
+        requests.releaseIfFinished(request);
         return stream;
     }
 
-    /** False where the policy has failed on it. */
-    private boolean tellPolicyOfEnd(ActiveRequest request, Attempt attempt, double now, double[] load) {
-        return policy.tell(p -> p.onAttemptEnded(
+    /** Returns false if the policy threw an exception. */
+    private boolean reportEndToPolicy(ActiveRequest request, Attempt attempt, double now, double[] load) {
+        return policy.deliver(p -> p.onAttemptEnded(
                 now,
                 request.id(),
                 attempt.number(),
--- a/src/main/java/quotagateway/node/BackendClients.java
+++ b/src/main/java/quotagateway/node/BackendClients.java
@@ -9,12 +9,16 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * What a node connects to: discovery, the endpoints that discovery lists, and the counter that all gateways share.
+ * The clients of the services that a node connects to: discovery, the endpoints that discovery lists, and the counter
+ * that all gateways share.
  *
- * @param listUpdates whom discovery reports to
+ * @param discoveryListener receives the endpoint lists of discovery
  */
 record BackendClients(
-        DiscoveryClient discovery, EndpointListUpdates listUpdates, EndpointPool endpoints, CounterClient counter) {
+        DiscoveryClient discovery,
+        EndpointListForwarder discoveryListener,
+        EndpointPool endpoints,
+        CounterClient counter) {
 
     static BackendClients create(
             NodeEventLoop loop,
@@ -24,26 +28,26 @@
             NodeTelemetry telemetry) {
         EndpointPool endpoints = new EndpointPool(
                 loop,
-                new EndpointEvents(loop, policy, telemetry),
+                new EndpointEventForwarder(loop, policy, telemetry),
                 loop.group(),
                 config,
                 descriptors.endpointConnections());
-        EndpointListUpdates listUpdates = new EndpointListUpdates(loop, endpoints, policy, telemetry);
-        DiscoveryClient discovery = new DiscoveryClient(loop, listUpdates, loop.group(), config);
+        EndpointListForwarder discoveryListener = new EndpointListForwarder(loop, endpoints, policy, telemetry);
+        DiscoveryClient discovery = new DiscoveryClient(loop, discoveryListener, loop.group(), config);
         CounterClient counter = new CounterClient(
                 loop,
                 (name, outcome, tookMs, total) ->
-                        policy.tell(p -> p.onCounterReply(loop.now(), name, outcome, tookMs, total)),
+                        policy.deliver(p -> p.onCounterReply(loop.now(), name, outcome, tookMs, total)),
                 loop.group(),
                 config.counterAddress(),
                 config.settings().capabilities().counterTimeout(),
                 config.seed());
-        return new BackendClients(discovery, listUpdates, endpoints, counter);
+        return new BackendClients(discovery, discoveryListener, endpoints, counter);
     }
 
     /**
-     * Connects; called on the event loop, once there is a policy. A cached list that cannot be used is no reason not to
-     * start: discovery has another.
+     * Connects to all three; called on the event loop, once the policy has been created. A cached list that cannot be
+     * used does not prevent the start, as discovery sends another one.
      */
     void start(NodeEventLoop loop, GatewayConfig config) {
         discovery.ready().thenRun(() -> StartupTimeline.phaseEnded("discovery"));
@@ -54,24 +58,32 @@
         endpoints.start();
     }
 
-    /** Done once all three are ready or have been waited for; the start has taken so long (ms) already. */
-    CompletableFuture<Void> ready(NodeEventLoop loop, GatewayConfig config, double spentMs) {
+    /**
+     * Returns a future that completes once all three are ready or the wait for them has ended. The start has taken
+     * {@code elapsedMs} so far.
+     */
+    CompletableFuture<Void> ready(NodeEventLoop loop, GatewayConfig config, double elapsedMs) {
         return Readiness.of(
-                loop, spentMs, config.cachedEndpoints() != null, discovery.ready(), endpoints.ready(), counter.ready());
+                loop,
+                elapsedMs,
+                config.cachedEndpoints() != null,
+                discovery.ready(),
+                endpoints.ready(),
+                counter.ready());
     }
 
-    /** Logs which of the three the node starts without, where there is one. */
+    /** Logs which of the three the node starts without, if any. */
     void logMissing() {
         boolean hasList = discovery.ready().isDone();
         boolean hasEndpoints = endpoints.ready().isDone();
         boolean hasCounter = counter.ready().isDone();
         if (!(hasList && hasEndpoints && hasCounter)) {
-            System.err.println("ready with what there is: discovery " + hasList + ", servers " + hasEndpoints
-                    + ", counter " + hasCounter);
+            System.err.println("starting before all backends are ready: discovery " + hasList + ", endpoints "
+                    + hasEndpoints + ", counter " + hasCounter);
         }
     }
 
-    /** Goes over to the addresses of a new configuration, where they differ. */
+    /** Switches to the addresses of a new configuration, if they differ. */
     void reconnect(GatewayConfig config) {
         discovery.reconnectTo(config.discoveryAddress());
         counter.reconnectTo(config.counterAddress());
--- a/src/main/java/quotagateway/node/ClientRequestAcceptor.java
+++ b/src/main/java/quotagateway/node/ClientRequestAcceptor.java
@@ -15,9 +15,9 @@
 import quotagateway.streaming.RequestBody;
 import quotagateway.transport.EventLoopContext;
 
-/** Makes requests of the commands that clients' connections have read, and hands them to the policy. */
+/** Creates requests from the commands that clients' connections have read, and passes them to the policy. */
 final class ClientRequestAcceptor implements ClientRequestHandler {
-    /** The longest wait (ms) that a client may name: past that its command is malformed. */
+    /** The longest timeout (ms) that a client may specify; a command with a longer one is malformed. */
     private static final double MAX_CLIENT_TIMEOUT_MS = 3_600_000;
 
     private final EventLoopContext loop;
@@ -51,9 +51,9 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The client's wait begins with the last byte of its request: when that came, not when it was read. Else an
-     * endpoint would be told more time than the client has left. What is still to come of a large value is expected at
-     * the pace so far.
+     * <p>The client's timeout starts when the last byte of its request arrives, not when that is read. Otherwise an
+     * endpoint would be given more time than the client has left. The rest of a large value is expected to arrive at
+     * the average rate so far.
      */
     @Override
     public String acceptCommand(ResponseSlot slot, ArrayRedisMessage message, RequestBody body, double receivedAtMs) {
@@ -70,10 +70,10 @@
         }
         guard.onRequestAccepted(command.id());
         if (requests.hasClientId(command.id())) {
-            return "a request of this id is open"; // endpoints could not tell the two apart
+            return "a request of this id is open"; // endpoints could not distinguish the two
         }
-        if (requests.isPastShutdown(now)) {
-            rejectAtShutdown(slot, command, body);
+        if (requests.isPastShutdownDeadline(now)) {
+            rejectAfterShutdownDeadline(slot, command, body);
             return null;
         }
         double clientWaitMs = clientTimeoutMs + (body == null ? receivedAtMs - now : body.remainingMs(now));
@@ -83,13 +83,13 @@
                 new ActiveRequest(requests, attemptHandler, requests.nextId(), slot, message, command, body, deadline);
         requests.add(request);
         telemetry.onRequestAccepted(command, slot, responseTimeMs);
-        if (!policy.tell(p -> p.onRequest(now, toPolicy(request.id(), command, responseTimeMs)))) {
-            requests.failUndecided(request);
+        if (!policy.deliver(p -> p.onRequest(now, toIncomingRequest(request.id(), command, responseTimeMs)))) {
+            requests.failWithoutDecision(request);
         }
         return null;
     }
 
-    private static IncomingRequest toPolicy(long id, ClientCommand command, double responseTimeMs) {
+    private static IncomingRequest toIncomingRequest(long id, ClientCommand command, double responseTimeMs) {
         return new IncomingRequest(
                 id,
                 command.requestClass(),
@@ -102,8 +102,11 @@
                 command.retry());
     }
 
-    /** All responses are due by now, and the process may be killed at any time: an open request would be lost. */
-    private void rejectAtShutdown(ResponseSlot slot, ClientCommand command, RequestBody body) {
+    /**
+     * Rejects a request that arrives after all responses were due: the process may be killed at any time, and an open
+     * request would be lost.
+     */
+    private void rejectAfterShutdownDeadline(ResponseSlot slot, ClientCommand command, RequestBody body) {
         if (body != null) {
             body.discard();
         }
--- a/src/main/java/quotagateway/node/ConfigReader.java
+++ b/src/main/java/quotagateway/node/ConfigReader.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import quotagateway.config.GatewayConfig;
 
-/** Reads the configuration again, as it is now. */
+/** Reads the current configuration again. */
 @FunctionalInterface
 public interface ConfigReader {
     /**
-     * Reads it.
+     * Returns the configuration as it is now.
      *
-     * @throws IOException where it cannot be read or is malformed
+     * @throws IOException if it cannot be read or is malformed
      */
     GatewayConfig read() throws IOException;
 }
--- a/src/main/java/quotagateway/node/CordonFile.java
+++ b/src/main/java/quotagateway/node/CordonFile.java
@@ -11,13 +11,13 @@
 import java.util.TreeSet;
 
 /**
- * The file {@code cordons-NAME} with the ids of the cordoned endpoints, each ended by a newline. It is replaced as a
- * whole, never written in place. Processes of other versions read and write it too: its name and form are fixed. All
- * methods block; after the first {@link #read} one thread alone calls them.
+ * The file {@code cordons-NAME} with the ids of the cordoned endpoints, each terminated by a newline. It is replaced
+ * atomically, never written in place. Processes of other versions read and write it too, so its name and format are
+ * fixed. All methods block; after the first {@link #read} only one thread calls them.
  */
 final class CordonFile {
     private final Path file;
-    /** As last read by {@link #readIfChanged} or written. */
+    /** The cordoned endpoints as last read by {@link #readIfChanged} or written. */
     private Set<String> lastKnown = Set.of();
 
     /**
@@ -29,8 +29,8 @@
     }
 
     /**
-     * The cordoned endpoints. Nothing in the file keeps a node from starting: a last line that is cut off is left out,
-     * no file means none, and where it cannot be read what was last known stands.
+     * Returns the cordoned endpoints. No state of the file prevents a start: a truncated last line is ignored, a
+     * missing file counts as empty, and if the file cannot be read the last known endpoints are returned.
      */
     Set<String> read() {
         try {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The cordoned endpoints, where they are not those that were last read here or written. */
+    /** Returns the cordoned endpoints if they differ from those last read by this method or written. */
     Optional<Set<String>> readIfChanged() {
         Set<String> endpoints = read();
         if (endpoints.equals(lastKnown)) {
@@ -60,7 +60,10 @@
         return Optional.of(endpoints);
     }
 
-    /** Stores one change of what the file has by now, as another process may have written it; false on failure. */
+    /**
+     * Adds or removes one endpoint in the current content of the file, which another process may have written. Returns
+     * false on failure.
+     */
     boolean update(String endpoint, boolean cordoned) {
         Set<String> endpoints = new TreeSet<>(read());
         if (cordoned) {
@@ -69,12 +72,12 @@
             endpoints.remove(endpoint);
         }
         StringBuilder text = new StringBuilder();
-        endpoints.forEach(each -> text.append(each).append('\n'));
+        endpoints.forEach(id -> text.append(id).append('\n'));
         try {
-            Path next = file.resolveSibling(
+            Path temporaryFile = file.resolveSibling(
                     file.getFileName() + "." + ProcessHandle.current().pid());
-            Files.writeString(next, text);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporaryFile, text);
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             logFailure(e);
             return false;
--- a/src/main/java/quotagateway/node/CordonStore.java
+++ b/src/main/java/quotagateway/node/CordonStore.java
@@ -11,28 +11,28 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * Keeps the policy's cordons and the {@link CordonFile} alike, so that they outlive the process. The file is polled
- * too: while a new version comes up beside the old one, an operator's call reaches one of the two processes and holds
- * for both. The policy is called on the event loop, the file on a thread that this class owns.
+ * Keeps the policy's cordons and the {@link CordonFile} in sync, so that cordons outlive the process. The file is also
+ * polled: while a new version starts alongside the old one, an operator's call reaches one of the two processes and has
+ * to apply to both. The policy is called on the event loop, the file is accessed on a thread that this class owns.
  */
 final class CordonStore implements AutoCloseable {
-    /** How often (ms) the file is read: a call holds for the other process 1 s later at the latest. */
+    /** How often (ms) the file is read: an operator's call has to apply to the other process within 1 s. */
     private static final double POLL_INTERVAL_MS = 200;
 
     private final EventLoopContext loop;
     private final PolicyInvoker policy;
     private final CordonFile file;
-    private final ExecutorService fileThread = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService fileExecutor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "cordons");
         thread.setDaemon(true);
         return thread;
     });
-    /** Operators' calls so far: what was read before the last one is out of date. */
-    private long callCount;
+    /** Number of operator calls so far: file content read before the last call is out of date. */
+    private long operatorCallCount;
 
     private int pendingWrites;
-    /** Cordons set (true) or taken off (false), by endpoint, that the file lacks: written again until it has them. */
-    private final Map<String, Boolean> unstored = new LinkedHashMap<>();
+    /** Cordons set (true) or removed (false), by endpoint, that the file does not have yet; their write is retried. */
+    private final Map<String, Boolean> unsavedChanges = new LinkedHashMap<>();
 
     CordonStore(EventLoopContext loop, PolicyInvoker policy, Path folder, String name) {
         this.loop = loop;
@@ -40,53 +40,53 @@
         file = new CordonFile(folder, name);
     }
 
-    /** The stored cordons; blocks, and is called before {@link #startPolling} only. */
+    /** Returns the stored cordons. Blocks; called only before {@link #startPolling}. */
     Set<String> load() {
         return file.read();
     }
 
-    /** Reads the file from here on, for as long as the event loop runs; called on it. */
+    /** Starts to poll the file, for as long as the event loop runs; called on the event loop. */
     void startPolling() {
         poll();
     }
 
     private void poll() {
-        if (fileThread.isShutdown()) {
+        if (fileExecutor.isShutdown()) {
             return;
         }
-        long callsBefore = callCount;
-        fileThread.execute(() -> file.readIfChanged()
-                .ifPresent(endpoints -> loop.execute(() -> applyUnlessOutdated(endpoints, callsBefore))));
+        long callCountAtRead = operatorCallCount;
+        fileExecutor.execute(() -> file.readIfChanged()
+                .ifPresent(endpoints -> loop.execute(() -> applyUnlessOutdated(endpoints, callCountAtRead))));
         if (pendingWrites == 0) {
-            Map.copyOf(unstored).forEach((endpoint, cordoned) -> write(endpoint, cordoned, result -> {}));
+            Map.copyOf(unsavedChanges).forEach((endpoint, cordoned) -> write(endpoint, cordoned, result -> {}));
         }
         loop.schedule(POLL_INTERVAL_MS, this::poll);
     }
 
-    /** What the file lacks must not be taken back by it. */
-    private void applyUnlessOutdated(Set<String> endpoints, long callsBefore) {
-        if (callsBefore == callCount && pendingWrites == 0 && unstored.isEmpty()) {
+    /** Applies the cordons of the file, unless that would undo changes that the file does not have yet. */
+    private void applyUnlessOutdated(Set<String> endpoints, long callCountAtRead) {
+        if (callCountAtRead == operatorCallCount && pendingWrites == 0 && unsavedChanges.isEmpty()) {
             policy.replaceCordons(endpoints);
         }
     }
 
     /**
-     * Cordons an endpoint or takes its cordon off; called on the event loop. It holds at once; the result comes, on the
-     * loop too, when it is stored or that has failed. What has failed is tried again.
+     * Cordons an endpoint or removes its cordon; called on the event loop. The change applies immediately; the result
+     * is reported on the loop, once the change is stored or the write has failed. Failed writes are retried.
      */
     void setCordoned(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
         if (!policy.setCordoned(endpoint, cordoned)) {
             onResult.accept(CordonResult.UNKNOWN);
             return;
         }
-        callCount++;
-        unstored.put(endpoint, cordoned);
+        operatorCallCount++;
+        unsavedChanges.put(endpoint, cordoned);
         write(endpoint, cordoned, onResult);
     }
 
     private void write(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
         pendingWrites++;
-        fileThread.execute(() -> {
+        fileExecutor.execute(() -> {
             boolean stored = file.update(endpoint, cordoned);
             loop.execute(() -> onWritten(endpoint, cordoned, stored, onResult));
         });
@@ -95,14 +95,14 @@
     private void onWritten(String endpoint, boolean cordoned, boolean stored, Consumer<CordonResult> onResult) {
         pendingWrites--;
         if (stored) {
-            unstored.remove(endpoint, cordoned); // unless the opposite call has come meanwhile
+            unsavedChanges.remove(endpoint, cordoned); // unless an opposite call has replaced it meanwhile
         }
         onResult.accept(stored ? CordonResult.DONE : CordonResult.NOT_KEPT);
     }
 
-    /** Ends the thread once it has written what it has been given; called once the event loop has ended. */
+    /** Ends the thread after the writes that are queued; called once the event loop has ended. */
     @Override
     public void close() {
-        fileThread.shutdown();
+        fileExecutor.shutdown();
     }
 }
--- a/src/main/java/quotagateway/node/DescriptorBudget.java
+++ b/src/main/java/quotagateway/node/DescriptorBudget.java
@@ -4,63 +4,64 @@
 import quotagateway.client.ClientListener;
 
 /**
- * How the file descriptors of a node are divided between the connections of clients, those to endpoints, and what
- * the process needs for itself. The limit is one for both processes while a new version comes up beside the old one.
+ * Divides the file descriptors of a node between client connections, connections to endpoints, and the needs of the
+ * process itself. While a new version starts alongside the old one, both processes share the limit.
  *
  * @param maxSockets descriptors that the node may hold
- * @param adminConnections descriptors that the admin endpoint needs, 0 where there is none
+ * @param adminConnections descriptors that the admin endpoint needs, 0 if there is none
  */
 record DescriptorBudget(int maxSockets, int adminConnections) {
-    /** The part for clients: more than the third that they are promised, and it leaves a successor its start. */
+    /** Share of client connections: above the guaranteed third, and low enough that a successor can start. */
     private static final double CLIENT_SHARE = 0.55;
-    /** The part for connections to endpoints. */
+    /** Share of connections to endpoints. */
     private static final double ENDPOINT_SHARE = 0.25;
     /**
-     * The part for clients while a predecessor still has its own: as many as ask in earnest. With a tenth, idle
-     * connections shut out those that had requests.
+     * Share of client connections while a predecessor still has its own: enough for all clients that send requests.
+     * With a tenth, idle connections kept out clients that had requests.
      */
-    private static final double CLIENT_SHARE_BESIDE_PREDECESSOR = 0.34;
-    /** Clients may always have a third of the descriptors: 1 / this. */
+    private static final double CLIENT_SHARE_DURING_HANDOVER = 0.34;
+    /** Clients are guaranteed the descriptors divided by this number: a third. */
     private static final int GUARANTEED_CLIENT_DIVISOR = 3;
     /**
-     * What the process itself holds at the most: 24 files of the JVM, its loop and its state, the listener, 8
-     * connections to the counter while it moves, 5 to discovery (a move, and old ones that end) and 2 to spare.
+     * The most descriptors that the process itself holds: 24 files of the JVM, its event loop and its state, the
+     * listener, 8 connections to the counter during a change of its address, 5 to discovery (a change of address, and
+     * old connections that are closing) and 2 spare ones.
      */
-    private static final int OWN_DESCRIPTORS = 40;
+    private static final int PROCESS_DESCRIPTORS = 40;
 
-    /** The budget of a node with an admin endpoint: its listener counts too. */
+    /** Returns the budget of a node with an admin endpoint, whose listener needs a descriptor too. */
     static DescriptorBudget withAdminEndpoint(int maxSockets) {
         return new DescriptorBudget(maxSockets, AdminServer.MAX_CONNECTIONS + 1);
     }
 
-    /** The budget of a node without an admin endpoint. */
+    /** Returns the budget of a node without an admin endpoint. */
     static DescriptorBudget withoutAdminEndpoint(int maxSockets) {
         return new DescriptorBudget(maxSockets, 0);
     }
 
-    /** How many connections to endpoints there may be. */
+    /** The limit on connections to endpoints. */
     int endpointConnections() {
         return (int) (maxSockets * ENDPOINT_SHARE);
     }
 
-    /** How many connections of clients there may be. */
+    /** The limit on client connections. */
     int clientConnections() {
         return clientConnections(CLIENT_SHARE);
     }
 
-    /** How many connections of clients there may be while the process that this one replaces may still run. */
-    int clientConnectionsBesidePredecessor() {
-        return clientConnections(CLIENT_SHARE_BESIDE_PREDECESSOR);
+    /** The limit on client connections while the process that this one replaces may still run. */
+    int clientConnectionsDuringHandover() {
+        return clientConnections(CLIENT_SHARE_DURING_HANDOVER);
     }
 
-    /** The share, or what the other parts leave where that is less, but never less than is guaranteed. */
+    /** Returns the share, or what the other parts leave if that is less, but at least the guaranteed third. */
     private int clientConnections(double share) {
-        int wanted = (int) (maxSockets * share);
-        int left = maxSockets
+        int requested = (int) (maxSockets * share);
+        int available = maxSockets
                 - endpointConnections()
-                - OWN_DESCRIPTORS
-                - 2 * ClientListener.connectionsBeyondLimit(wanted)
+                - PROCESS_DESCRIPTORS
+                - 2 * ClientListener.connectionsBeyondLimit(requested)
                 - adminConnections;
-        return Math.max(maxSockets / GUARANTEED_CLIENT_DIVISOR, Math.min(wanted, left));
+        return Math.max(maxSockets / GUARANTEED_CLIENT_DIVISOR, Math.min(requested, available));
     }
 }
--- a/src/main/java/quotagateway/node/EndpointEvents.java
+++ b/src/main/java/quotagateway/node/EndpointEventForwarder.java
@@ -5,13 +5,16 @@
 import quotagateway.transport.EventLoopContext;
 import quotagateway.upstream.EndpointPoolListener;
 
-/** Passes on what the pool reports that concerns no request: health checks to the policy, closes to the operators. */
-final class EndpointEvents implements EndpointPoolListener {
+/**
+ * Forwards events of the endpoint pool that concern no request: health checks to the policy, closed connections to the
+ * telemetry.
+ */
+final class EndpointEventForwarder implements EndpointPoolListener {
     private final EventLoopContext loop;
     private final PolicyInvoker policy;
     private final NodeTelemetry telemetry;
 
-    EndpointEvents(EventLoopContext loop, PolicyInvoker policy, NodeTelemetry telemetry) {
+    EndpointEventForwarder(EventLoopContext loop, PolicyInvoker policy, NodeTelemetry telemetry) {
         this.loop = loop;
         this.policy = policy;
         this.telemetry = telemetry;
@@ -19,7 +22,7 @@
 
     @Override
     public void onHealthCheck(String endpoint, CallOutcome outcome, double tookMs, double[] load) {
-        policy.tell(p -> p.onHealthCheck(loop.now(), endpoint, outcome, tookMs, load));
+        policy.deliver(p -> p.onHealthCheck(loop.now(), endpoint, outcome, tookMs, load));
     }
 
     @Override
--- a/src/main/java/quotagateway/node/EndpointListUpdates.java
+++ b/src/main/java/quotagateway/node/EndpointListForwarder.java
@@ -9,16 +9,17 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * Passes on what discovery reports: to the pool first, so that attempts which wait there no longer go to an endpoint
- * that drains, then to the policy, which says in turn which endpoints the pool is to use.
+ * Forwards events of discovery to the pool first, so that attempts queued there no longer go to a draining endpoint,
+ * and then to the policy, which in turn decides which endpoints the pool uses.
  */
-final class EndpointListUpdates implements DiscoveryListener {
+final class EndpointListForwarder implements DiscoveryListener {
     private final EventLoopContext loop;
     private final EndpointPool endpoints;
     private final PolicyInvoker policy;
     private final NodeTelemetry telemetry;
 
-    EndpointListUpdates(EventLoopContext loop, EndpointPool endpoints, PolicyInvoker policy, NodeTelemetry telemetry) {
+    EndpointListForwarder(
+            EventLoopContext loop, EndpointPool endpoints, PolicyInvoker policy, NodeTelemetry telemetry) {
         this.loop = loop;
         this.endpoints = endpoints;
         this.policy = policy;
@@ -39,7 +40,7 @@
         if (complete) {
             endpoints.onEndpointListCompleted();
         }
-        policy.tell(p -> p.onEndpoints(loop.now(), list, complete));
+        policy.deliver(p -> p.onEndpoints(loop.now(), list, complete));
         if (!list.isEmpty()) {
             endpoints.onPolicyNotified();
         }
@@ -48,19 +49,19 @@
     @Override
     public void onEndpointListStarted() {
         endpoints.onEndpointListStarted();
-        policy.tell(p -> p.onEndpointListStarted(loop.now()));
+        policy.deliver(p -> p.onEndpointListStarted(loop.now()));
     }
 
     @Override
     public void onEndpointListCompleted() {
         endpoints.onEndpointListCompleted();
-        policy.tell(p -> p.onEndpointListCompleted(loop.now()));
+        policy.deliver(p -> p.onEndpointListCompleted(loop.now()));
         endpoints.onPolicyNotified();
     }
 
     @Override
     public void onDiscoveryFailed() {
-        policy.tell(p -> p.onDiscoveryFailed(loop.now()));
+        policy.deliver(p -> p.onDiscoveryFailed(loop.now()));
     }
 
     @Override
--- a/src/main/java/quotagateway/node/GatewayNode.java
+++ b/src/main/java/quotagateway/node/GatewayNode.java
@@ -13,8 +13,8 @@
 
 /**
  * A gateway node: accepts clients' requests, lets the policy decide on them, and sends them to endpoints. This class
- * puts its parts together, starts and stops them. All parts and the policy run on one event loop; the methods here
- * are called from other threads.
+ * creates the components of the node, starts and stops them. All components and the policy run on one event loop; the
+ * methods of this class are called from other threads.
  */
 public final class GatewayNode {
     private final GatewayConfig config;
@@ -29,7 +29,7 @@
     private final NodeStartup startup;
     private volatile SocketAddress adminAddress;
 
-    /** Puts a node together; it does nothing before {@link #start}. */
+    /** Creates a node, which is inactive until {@link #start}. */
     public GatewayNode(GatewayConfig config, PolicyFactory policyFactory) {
         this.config = config;
         this.policyFactory = policyFactory;
@@ -47,10 +47,11 @@
         backends = BackendClients.create(loop, config, descriptors, policy, telemetry);
         MemoryBudget memory = new MemoryBudget();
         RequestTable requests = new RequestTable(loop, guard, telemetry, policy, backends.endpoints(), memory);
-        AttemptHandler attempts = new AttemptHandler(loop, guard, telemetry, policy, backends.endpoints(), requests);
-        policyActions = new PolicyActionExecutor(loop, policy, requests, attempts, backends);
+        AttemptHandler attemptHandler =
+                new AttemptHandler(loop, guard, telemetry, policy, backends.endpoints(), requests);
+        policyActions = new PolicyActionExecutor(loop, policy, requests, attemptHandler, backends);
         ClientRequestAcceptor acceptor = new ClientRequestAcceptor(
-                loop, config.settings(), guard, telemetry, policy, memory, requests, attempts);
+                loop, config.settings(), guard, telemetry, policy, memory, requests, attemptHandler);
         ClientListener clients = new ClientListener(loop, acceptor, descriptors.clientConnections());
         memory.onAvailable(clients::resumeReading);
 
@@ -62,26 +63,29 @@
                 config, loop, descriptors, policy, backends, clients, cordons, handover, state, shutdown.ended());
     }
 
-    /** As {@link #start(double)}, where the start is the first thing that the process does. */
+    /** As {@link #start(double)}, if the process has done nothing before. */
     void start() throws IOException {
         start(0);
     }
 
     /**
-     * Comes up; returns when the node listens, or has been told to end meanwhile. The admin endpoint is up before, and
-     * says that no clients are accepted yet.
+     * Starts the node; returns when it listens or has been told to shut down meanwhile. The admin endpoint is available
+     * earlier, and reports that no clients are accepted yet.
      *
-     * @param spentMs what the process has spent on its start before
-     * @throws IOException where an address cannot be had, or the policy cannot be made
+     * @param elapsedMs time that the process has spent on its start before this call
+     * @throws IOException if an address cannot be bound or the policy cannot be created
      */
-    public void start(double spentMs) throws IOException {
+    public void start(double elapsedMs) throws IOException {
         if (config.adminAddress() != null) {
             adminAddress = admin.bind(loop.group(), config.adminAddress());
         }
-        startup.run(policyFactory, policyActions, spentMs);
+        startup.run(policyFactory, policyActions, elapsedMs);
     }
 
-    /** SIGHUP: goes over to the addresses of a new configuration. One that cannot be read changes nothing. */
+    /**
+     * Handles SIGHUP: switches to the addresses of a new configuration. A configuration that cannot be read changes
+     * nothing.
+     */
     public void reload(ConfigReader reader) {
         loop.execute(() -> {
             try {
@@ -92,7 +96,7 @@
         });
     }
 
-    /** SIGTERM: responds to all that is accepted and then ends; returns when that is done. */
+    /** Handles SIGTERM: responds to all accepted requests and then ends; returns when that is done. */
     public void drain() {
         shutdown.begin();
         shutdown.ended().join();
@@ -100,17 +104,17 @@
         cordons.close();
     }
 
-    /** Where clients are accepted; null before. */
+    /** The address on which clients are accepted; null before the node listens. */
     public SocketAddress listenAddress() {
         return startup.listenAddress();
     }
 
-    /** Where the admin endpoint is; null before it is up, or where the configuration has none. */
+    /** The address of the admin endpoint; null before it is available, or if the configuration has none. */
     public SocketAddress adminAddress() {
         return adminAddress;
     }
 
-    // ---- for tests, which stand in for the policy, discovery and the passing of time ----
+    // ---- for tests, which act in place of the policy, discovery and timers ----
 
     NodeEventLoop eventLoop() {
         return loop;
@@ -125,6 +129,6 @@
     }
 
     DiscoveryListener discoveryListener() {
-        return backends.listUpdates();
+        return backends.discoveryListener();
     }
 }
--- a/src/main/java/quotagateway/node/GracefulShutdown.java
+++ b/src/main/java/quotagateway/node/GracefulShutdown.java
@@ -7,25 +7,25 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * What a node does from SIGTERM on. It goes on accepting connections and requests for a while, as clients learn of
- * the shutdown only later; all requests have their responses before SIGKILL may come (see {@link ShutdownDeadline});
- * and it ends as soon as nothing is owed. Where another process has taken this one's place already, new connections
- * are that one's at once.
+ * The shutdown of a node, from SIGTERM on. The node keeps accepting connections and requests for a while, as clients
+ * learn of the shutdown only later. All requests get their responses before SIGKILL may come (see {@link
+ * ShutdownDeadline}), and the node ends as soon as no response is owed. If another process has already replaced this
+ * one, new connections go to that process immediately.
  */
 final class GracefulShutdown {
-    /** New connections keep coming for up to 0.4 s after SIGTERM: those that idle are closed behind that (ms). */
+    /** Idle connections are closed this long (ms) after SIGTERM, as new ones arrive for up to 0.4 s after it. */
     private static final double CLOSE_IDLE_AFTER_MS = 450;
-    /** Where no other process listens, this one does for so long (ms). */
+    /** How long (ms) this process keeps listening if no other process listens. */
     private static final double STOP_LISTENING_AFTER_MS = 600;
     /**
-     * An end that slow readers hold up comes so long (ms) after all responses were due, at the latest. SIGKILL comes
-     * long before as a rule; where it does not, the process must not stay for ever.
+     * The longest time (ms) after all responses were due for which slow readers can delay the end. SIGKILL usually
+     * comes long before; if it does not, the process must not stay forever.
      */
     private static final double FORCED_END_AFTER_MS = 30_000;
-    /** How often (ms) it is checked whether the node may end. */
+    /** How often (ms) the node checks whether it may end. */
     private static final double IDLE_CHECK_INTERVAL_MS = 5;
-    /** A check that comes so late (ms) is logged: the event loop was held up. */
-    private static final double LATE_CHECK_MS = 50;
+    /** A check that runs later than planned by more than this (ms) is logged, as the event loop was blocked. */
+    private static final double LATE_CHECK_THRESHOLD_MS = 50;
 
     private final EventLoopContext loop;
     private final PolicySettings settings;
@@ -58,43 +58,45 @@
         this.telemetry = telemetry;
     }
 
-    /** Done once nothing is owed any more, or the time for it has passed. */
+    /** Returns a future that completes once no response is owed, or the time limit for that has passed. */
     CompletableFuture<Void> ended() {
         return ended;
     }
 
-    /** Begins to shut down; called once, in the moment of the signal, from beside the event loop. */
+    /** Begins the shutdown; called once, at the time of the signal and not on the event loop. */
     void begin() {
         double dueAtMs = loop.now() + ShutdownDeadline.responsesDueInMs(settings);
-        boolean replaced = handover.hasSuccessor();
+        boolean hasSuccessor = handover.hasSuccessor();
         loop.execute(() -> {
             responsesDueAtMs = dueAtMs;
             telemetry.writeImmediately();
             state.startDraining(dueAtMs - loop.now());
             if (!clients.hasListened()) {
                 end(); // SIGTERM during the start: no request was accepted, and none will be
-            } else if (replaced) {
-                drainBesideSuccessor();
+            } else if (hasSuccessor) {
+                drainWithSuccessor();
             } else {
-                drainAlone();
+                drainWithoutSuccessor();
             }
         });
     }
 
-    /** The other process accepts what comes from now on; connections that are open end behind their next response. */
-    private void drainBesideSuccessor() {
+    /** Leaves new connections to the other process; open connections are closed after their next response. */
+    private void drainWithSuccessor() {
         startDraining(CLOSE_IDLE_AFTER_MS);
         clients.stopListening();
         clients.closeAfterResponses();
     }
 
-    /** Clients that come in the next moments have nowhere else to go. */
-    private void drainAlone() {
+    /** Keeps listening for a moment, as new clients have no other process to connect to. */
+    private void drainWithoutSuccessor() {
         startDraining(STOP_LISTENING_AFTER_MS);
         loop.schedule(STOP_LISTENING_AFTER_MS, clients::stopListening);
     }
 
-    /** The check comes first: a fault in what follows does not keep the process from ending. */
+    /**
+     * Schedules the idle check first, so that a fault in the steps after it does not prevent the process from ending.
+     */
     private void startDraining(double firstCheckMs) {
         scheduleIdleCheck(firstCheckMs);
         requests.bringDeadlinesForwardTo(responsesDueAtMs);
@@ -110,16 +112,16 @@
     }
 
     /**
-     * Ends the node when nothing is owed. When responses are due all have been given, and connections are closed
-     * then; what a slow client has still to read of them is waited for, within bounds.
+     * Ends the node if no response is owed. Once responses are due, all have been given and connections are closed; the
+     * node waits, within limits, for slow clients to read theirs.
      */
     private void endIfIdle() {
         double lateMs = loop.now() - nextCheckDueAtMs;
-        if (lateMs > LATE_CHECK_MS) {
+        if (lateMs > LATE_CHECK_THRESHOLD_MS) {
             telemetry.record(new NodeEvent.EventLoopLate(lateMs));
         }
-        boolean lastMoment = loop.now() >= responsesDueAtMs + FORCED_END_AFTER_MS;
-        if (guard.mayEnd(clients.isIdle(), requests.openCount(), lastMoment)) {
+        boolean forced = loop.now() >= responsesDueAtMs + FORCED_END_AFTER_MS;
+        if (guard.mayEnd(clients.isIdle(), requests.openCount(), forced)) {
             end();
             return;
         }
@@ -129,7 +131,10 @@
         }
     }
 
-    /** The listener is closed here, as an event loop that ends within its tasks does not close its channels. */
+    /**
+     * Ends the node. The listener is closed here, as an event loop that is shut down while it runs its tasks does not
+     * close its channels.
+     */
     private void end() {
         state.end();
         clients.close();
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -15,44 +15,48 @@
 import quotagateway.upstream.Attempt;
 
 /**
- * The one place that allows or denies what could lose a request, execute it twice or send it astray: sending an
- * attempt, retrying, responding, closing a client's connection, listening, and ending the process. It is asked at the
- * moment of the act, not of the decision, as time goes on between the two.
+ * Allows or denies the acts that could lose a request, execute it twice or send it to a wrong endpoint: sending an
+ * attempt, retrying, responding, closing a client connection, listening, and ending the process. Only this class
+ * decides on them, at the moment of the act rather than of the decision that led to it, as time passes between the two.
  *
- * <p>There are two kinds of answers. A {@link SendDenial} is ordinary: an attempt is no longer useful or no longer
- * safe. An {@link Invariant} holds whatever clients and endpoints do; where it does not, that is a fault of this
- * program, and the listener is told, so that it is counted and logged with what led to it:
+ * <p>There are two kinds of results. A {@link SendDenial} is ordinary: an attempt is no longer useful or no longer
+ * safe. An {@link Invariant} holds regardless of what clients and endpoints do. A violation of an invariant is a fault
+ * of this program; the listener is notified, so that the violation is counted and logged with the events that led to
+ * it:
  *
  * <ul>
- *   <li>{@link Invariant#ONE_ANSWER}: a request gets one final response. A second one would be taken for the response
- *       of the next request on the connection, so it is not written.
+ *   <li>{@link Invariant#ONE_ANSWER}: a request gets one final response. The client would take a second one for the
+ *       response to the next request on the connection, so it is not written.
  *   <li>{@link Invariant#ANSWERED_IN_TIME}: the response comes within {@link #MAX_RESPONSE_DELAY_MS} of the client's
- *       timeout. A later one is still written, as the connection needs it.
- *   <li>{@link Invariant#SENT_WITHIN_REQUEST}: no attempt begins more than {@link #MAX_SEND_DELAY_MS} after its
- *       request is completed, for nobody would get its response. Attempts that wait for a connection are cancelled
- *       when their request is completed.
- *   <li>{@link Invariant#CLOSED_OWING_NOTHING}: a client's connection is not closed by this node while requests on it
- *       are open: their clients would not know whether they were executed. Such a close is denied.
+ *       timeout. A later one is still written, as the responses after it on the connection depend on it.
+ *   <li>{@link Invariant#SENT_WITHIN_REQUEST}: no attempt begins more than {@link #MAX_SEND_DELAY_MS} after its request
+ *       is completed, as no client would get its response. Attempts that wait for a connection are cancelled when their
+ *       request is completed.
+ *   <li>{@link Invariant#CLOSED_OWING_NOTHING}: this node does not close a client connection while requests on it are
+ *       open, as the client would not know whether they were executed. Such a close is denied.
  *   <li>{@link Invariant#ENDED_OWING_NOTHING}: a process that ends by itself has responded to every request, as it can
- *       be relied on to be up until SIGKILL, and all responses are due before that.
+ *       rely on running until SIGKILL, and all responses are due before that.
  *   <li>{@link Invariant#TAKEN_BEFORE_THE_END}: a node whose shutdown has ended accepts no request: it would be open
  *       when the process exits.
  * </ul>
  *
- * All of it runs on the event loop.
+ * All methods are called on the event loop.
  */
 final class LifecycleGuard {
-    /** A node may be held up so long (ms) between reading its clock and writing. */
+    /** How long (ms) the node may stall between reading its clock and writing. */
     private static final double MAX_NODE_STALL_MS = 150;
-    /** How late (ms) a response may be without being a fault: one up to here is only worth nothing. */
+    /** How late (ms) a response may be without a violation: up to this delay it is only worthless to the client. */
     private static final double MAX_RESPONSE_DELAY_MS = 500;
-    /** An attempt that begins so long (ms) after the client's end counts as a lost request. */
+    /** An attempt that begins more than this (ms) after its client has disconnected counts as a lost request. */
     private static final double MAX_SEND_DELAY_MS = 100;
 
-    /** Told of each violation of an invariant. */
+    /** Is notified of each violation of an invariant. */
     @FunctionalInterface
     interface ViolationListener {
-        /** An invariant does not hold for a request, by its client's id; null where it concerns no single one. */
+        /**
+         * An invariant is violated for the request with the client's id {@code requestId}, or for no single request if
+         * that is null.
+         */
         void onViolated(Invariant invariant, String requestId);
     }
 
@@ -70,23 +74,23 @@
 
     // ---- the process ----
 
-    /** Whether the node may begin to listen: not once it has been told to end, during its start too. */
+    /** Whether the node may begin to listen: not after it has been told to shut down, even during its start. */
     boolean mayListen() {
         return state.isBeforeDraining();
     }
 
-    /** Whether the process may end now; at its last moment it does so even where that violates an invariant. */
-    boolean mayEnd(boolean clientsIdle, int openRequests, boolean lastMoment) {
-        boolean owing = openRequests > 0;
-        if (lastMoment && owing) {
+    /** Whether the process may end now; a forced end is allowed even if it violates an invariant. */
+    boolean mayEnd(boolean clientsIdle, int openRequests, boolean forced) {
+        boolean hasOpenRequests = openRequests > 0;
+        if (forced && hasOpenRequests) {
             listener.onViolated(Invariant.ENDED_OWING_NOTHING, null);
         }
-        return lastMoment || (clientsIdle && !owing);
+        return forced || (clientsIdle && !hasOpenRequests);
     }
 
     // ---- requests ----
 
-    /** A request is accepted. */
+    /** A request has been accepted. */
     void onRequestAccepted(String requestId) {
         if (state.hasEnded()) {
             listener.onViolated(Invariant.TAKEN_BEFORE_THE_END, requestId);
@@ -96,8 +100,8 @@
     /**
      * Whether a request may be given its final response now.
      *
-     * @param completed whether it needs no response any more
-     * @param lateMs how long ago its client's timeout was; negative where it is still to come
+     * @param completed whether the request needs no response any more
+     * @param lateMs time (ms) since the client's timeout; negative before it
      */
     boolean mayRespond(String requestId, boolean completed, double lateMs) {
         if (completed) {
@@ -110,9 +114,9 @@
         return true;
     }
 
-    /** Whether this node may close a client's connection now; where it may not, its requests come first. */
+    /** Whether this node may close a client connection now; if not, the requests on it get their responses first. */
     boolean mayClose(CloseReason reason, int openRequests) {
-        // no response can follow half a value, and a client that reads nothing cannot be given one
+        // no response can follow a truncated value, or reach a client that does not read
         boolean cannotRespond = reason == CloseReason.VALUE_BROKEN_OFF || reason == CloseReason.UNREAD;
         if (openRequests > 0 && !cannotRespond) {
             listener.onViolated(Invariant.CLOSED_OWING_NOTHING, null);
@@ -123,7 +127,7 @@
 
     // ---- attempts ----
 
-    /** Why an attempt, the last of its request, may not be sent now; empty where it may. */
+    /** Returns why an attempt, the last of its request, may not be sent now; empty if it may. */
     Optional<SendDenial> denialOf(ActiveRequest request, Attempt attempt, double now) {
         if (request.isCompleted()) {
             return Optional.of(SendDenial.REQUEST_OVER);
@@ -152,17 +156,17 @@
     }
 
     /**
-     * Why an attempt may not follow an earlier one of its request now; empty where it may.
+     * Returns why an attempt may not follow an earlier one of its request now; empty if it may.
      *
-     * @param requestClass the request's, or null where the settings have none of its name
+     * @param requestClass the class of the request, or null if the settings have no class of that name
      */
     Optional<SendDenial> denialOfRetry(RequestClass requestClass, Attempt earlier, Attempt next, double now) {
         boolean inFlight = !earlier.isEnded();
         if (inFlight && !capabilities.hedging()) {
             return Optional.of(SendDenial.COPY_OUT);
         }
-        boolean mayHaveRun = inFlight || (earlier.outcome() != null && !earlier.outcome().provesNotExecuted);
-        if (!mayHaveRun || (requestClass != null && requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
+        boolean mayHaveExecuted = inFlight || (earlier.outcome() != null && !earlier.outcome().provesNotExecuted);
+        if (!mayHaveExecuted || (requestClass != null && requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
             return Optional.empty();
         }
         if (requestClass == null || requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
@@ -176,15 +180,15 @@
         return leavesScope ? Optional.of(SendDenial.OTHER_GROUP) : Optional.empty();
     }
 
-    /** Whether two endpoints know each other's idempotency keys; an unknown endpoint is taken not to. */
-    private static boolean inSameScope(RetryScope scope, EndpointDescriptor one, EndpointDescriptor other) {
-        if (one == null || other == null) {
+    /** Whether two endpoints recognize each other's idempotency keys; false if an endpoint is unknown. */
+    private static boolean inSameScope(RetryScope scope, EndpointDescriptor first, EndpointDescriptor second) {
+        if (first == null || second == null) {
             return false;
         }
-        return scope == RetryScope.ZONE ? one.zone().equals(other.zone()) : one.cell() == other.cell();
+        return scope == RetryScope.ZONE ? first.zone().equals(second.zone()) : first.cell() == second.cell();
     }
 
-    /** The last byte of an attempt is written, so long (ms) after its request was completed, or 0. */
+    /** The last byte of an attempt has been written, this long (ms) after its request was completed, or 0. */
     void onAttemptWritten(String requestId, double afterCompletionMs) {
         if (afterCompletionMs > MAX_SEND_DELAY_MS) {
             listener.onViolated(Invariant.SENT_WITHIN_REQUEST, requestId);
--- a/src/main/java/quotagateway/node/MemoryBudget.java
+++ b/src/main/java/quotagateway/node/MemoryBudget.java
@@ -1,17 +1,17 @@
 package quotagateway.node;
 
 /**
- * How much memory the values of all requests take together. While it is exhausted clients are read no further, so
- * that the kernel and then the clients themselves hold what they have still to send.
+ * The memory that the values of all requests take together. While the budget is exhausted, the node stops reading from
+ * clients, so that the kernel, and then the clients themselves, hold the data that is still to be sent.
  */
 final class MemoryBudget {
-    /** What the values of all requests may take (bytes) before clients are read no further. */
+    /** How much the values of all requests may take (bytes) before the node stops reading from clients. */
     private static final long MAX_BUFFERED_BYTES = 8L << 20;
 
     private long bufferedBytes;
     private Runnable onAvailable = () -> {};
 
-    /** Sets what is run each time that the budget is no longer exhausted. */
+    /** Sets the action that runs each time the budget stops being exhausted. */
     void onAvailable(Runnable action) {
         onAvailable = action;
     }
@@ -20,12 +20,12 @@
         return bufferedBytes > MAX_BUFFERED_BYTES;
     }
 
-    /** A request takes so much; it is always granted, as it has been read by then. */
+    /** Reserves the memory of a request. A reservation always succeeds, as the bytes have been read already. */
     void reserve(int bytes) {
         bufferedBytes += bytes;
     }
 
-    /** A request has given its buffers back. */
+    /** Returns the memory of a request that has released its buffers. */
     void release(int bytes) {
         boolean wasExhausted = isExhausted();
         bufferedBytes -= bytes;
--- a/src/main/java/quotagateway/node/NodeAdminOperations.java
+++ b/src/main/java/quotagateway/node/NodeAdminOperations.java
@@ -5,7 +5,10 @@
 import quotagateway.admin.CordonResult;
 import quotagateway.admin.Metrics;
 
-/** What operators may ask of a node at its admin endpoint, which is up before there is a policy. */
+/**
+ * The operations of a node that its admin endpoint offers to operators. The endpoint is available before the policy
+ * exists.
+ */
 final class NodeAdminOperations implements AdminOperations {
     private final NodeStateMachine state;
     private final Metrics metrics;
@@ -32,7 +35,7 @@
         return metrics.render(requests.openCount(), policy.endpointCount(), policy.unavailableEndpointCount());
     }
 
-    /** {@inheritDoc} Before there is a policy no endpoint is known, and nothing is stored. */
+    /** {@inheritDoc} Before the policy exists, no endpoint is known and nothing is stored. */
     @Override
     public void cordon(String endpoint, boolean cordoned, Consumer<CordonResult> onResult) {
         if (policy.isCreated()) {
--- a/src/main/java/quotagateway/node/NodeEventLoop.java
+++ b/src/main/java/quotagateway/node/NodeEventLoop.java
@@ -12,16 +12,18 @@
 
 /**
  * The event loop of a node: one thread that runs the sockets, the timers and the policy. {@link #now()}, {@link
- * #schedule} and {@link #execute} may be called from any thread, the rest on the loop alone.
+ * #schedule} and {@link #execute} may be called from any thread, the other methods only on the loop.
  */
 final class NodeEventLoop implements EventLoopContext {
-    /** Failures that are logged in the life of a process: a flood of them would only cost what it reports. */
+    /** How many failures a process logs at the most: logging a flood of them would add to the load that it reports. */
     private static final int MAX_LOGGED_FAILURES = 200;
 
-    /** The loop ends so soon (ms) where no more tasks come, and is waited for no longer than the second (ms). */
-    private static final long QUIET_BEFORE_SHUTDOWN_MS = 0;
+    /** The loop ends once no task has been submitted for this time (ms). */
+    private static final long SHUTDOWN_QUIET_PERIOD_MS = 0;
 
+    /** How long (ms) the loop waits for the quiet period at the most. */
     private static final long SHUTDOWN_TIMEOUT_MS = 100;
+    /** How long (ms) {@link #shutdown} waits for the loop to end at the most. */
     private static final long SHUTDOWN_WAIT_MS = 500;
 
     private final EventLoopGroup group = Transport.newEventLoop();
@@ -35,15 +37,15 @@
         this.eventLog = eventLog;
     }
 
-    /** For bootstraps: all channels of the node are registered here. */
+    /** The group with which bootstraps register all channels of the node. */
     EventLoopGroup group() {
         return group;
     }
 
     /**
-     * Milliseconds of the monotonic clock, set to Unix time once, at the start: steps of the wall clock change
-     * nothing. As it is near Unix time, an endpoint's start time needs no translation, and the names on the
-     * counter, which the policy derives from the time, are the same at all gateways.
+     * Milliseconds of the monotonic clock, set to Unix time once, at the start, so that steps of the wall clock have no
+     * effect. As the clock is close to Unix time, an endpoint's start time needs no conversion, and the counter names
+     * that the policy derives from the time are the same at all gateways.
      */
     @Override
     public double now() {
@@ -61,7 +63,7 @@
         group.execute(() -> runGuarded(task));
     }
 
-    /** Runs a task now, and flushes behind it; an exception in it is logged and ends here. */
+    /** Runs a task now and flushes afterwards; an exception in the task is logged and not propagated. */
     void runGuarded(Runnable task) {
         try {
             task.run();
@@ -85,7 +87,7 @@
         unflushedChannels.add(channel);
     }
 
-    /** Writes out what the events of this round have left on the connections, and in the event log. */
+    /** Flushes the connections that were written to in this round, and the event log. */
     @Override
     public void flush() {
         if (!unflushedChannels.isEmpty()) {
@@ -100,7 +102,7 @@
 
     /** Ends the loop's thread and closes all its channels; called once, from another thread. */
     void shutdown() {
-        group.shutdownGracefully(QUIET_BEFORE_SHUTDOWN_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+        group.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly(SHUTDOWN_WAIT_MS);
     }
 }
--- a/src/main/java/quotagateway/node/NodeStartup.java
+++ b/src/main/java/quotagateway/node/NodeStartup.java
@@ -15,15 +15,18 @@
 import quotagateway.startup.StartupTimeline;
 
 /**
- * How a node comes up: it makes the policy, connects to discovery, endpoints and the counter, and listens only once
- * these are ready or have been waited for, as load balancers send clients to whatever listens. SIGTERM may come at any
- * time meanwhile.
+ * Starts a node: creates the policy, connects to discovery, the endpoints and the counter, and listens only once these
+ * are ready or the wait for them has ended, as load balancers send clients to any process that listens. SIGTERM may
+ * arrive at any time during the start.
  */
 final class NodeStartup {
-    /** The event loop may be held up by its own work: it is waited for so long (ms) past the longest wait on it. */
+    /**
+     * The start waits this much longer (ms) than the longest wait on the event loop, as the loop may be blocked by its
+     * own work.
+     */
     private static final long MAX_LOOP_DELAY_MS = 1000;
-    /** A process that this one replaces has ended by so long (ms) after its earliest SIGKILL. */
-    private static final double PREDECESSOR_ENDS_AFTER_KILL_MS = 1000;
+    /** A process that this one replaces has ended this long (ms) after its earliest SIGKILL. */
+    private static final double PREDECESSOR_EXIT_MARGIN_MS = 1000;
 
     private final GatewayConfig config;
     private final NodeEventLoop loop;
@@ -37,7 +40,7 @@
     private final CompletableFuture<Void> ended;
     private volatile SocketAddress listenAddress;
 
-    /** @param ended done where the node has been told to end, and has ended */
+    /** @param ended completes if the node has been told to shut down, and has ended */
     NodeStartup(
             GatewayConfig config,
             NodeEventLoop loop,
@@ -62,12 +65,12 @@
     }
 
     /**
-     * Runs the whole start, on the thread of its caller; returns when the node listens or has been told to end.
+     * Runs the complete start on the thread of the caller; returns when the node listens or has been told to shut down.
      *
-     * @param spentMs what the process has spent on its start before; see {@link Readiness}
-     * @throws IOException where the policy cannot be made, or the address cannot be had
+     * @param elapsedMs time that the process has spent on its start before this call; see {@link Readiness}
+     * @throws IOException if the policy cannot be created or the address cannot be bound
      */
-    void run(PolicyFactory factory, PolicyActions actions, double spentMs) throws IOException {
+    void run(PolicyFactory factory, PolicyActions actions, double elapsedMs) throws IOException {
         Set<String> cordoned = cordons.load();
         CompletableFuture<Void> ready = new CompletableFuture<>();
         ended.thenRun(() -> ready.complete(null));
@@ -78,16 +81,16 @@
                 ready.completeExceptionally(e);
                 return;
             }
-            startParts(cordoned);
-            backends.ready(loop, config, spentMs).thenRun(() -> ready.complete(null));
+            startComponents(cordoned);
+            backends.ready(loop, config, elapsedMs).thenRun(() -> ready.complete(null));
         });
         awaitReady(ready);
         backends.logMissing();
         listen();
     }
 
-    /** The stored cordons come first: no attempt may go to a cordoned endpoint. */
-    private void startParts(Set<String> cordoned) {
+    /** Applies the stored cordons first, as no attempt may go to a cordoned endpoint. */
+    private void startComponents(Set<String> cordoned) {
         policy.replaceCordons(cordoned);
         cordons.startPolling();
         backends.start(loop, config);
@@ -99,7 +102,7 @@
         try {
             ready.get((long) Readiness.MAX_WAIT_WITHOUT_LIST_MS + MAX_LOOP_DELAY_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            System.err.println("ready, with the loop held up");
+            System.err.println("event loop was blocked during the start; not waiting for it any longer");
         } catch (ExecutionException e) {
             throw new IOException(e);
         } catch (InterruptedException e) {
@@ -108,12 +111,12 @@
         }
     }
 
-    /** Listens, unless the node has been told to end. */
+    /** Listens, unless the node has been told to shut down. */
     private void listen() throws IOException {
         if (handover.hasPredecessor()) {
-            clients.limitConnections(descriptors.clientConnectionsBesidePredecessor());
+            clients.limitConnections(descriptors.clientConnectionsDuringHandover());
             loop.schedule(
-                    ShutdownDeadline.earliestKillMs(config.settings()) + PREDECESSOR_ENDS_AFTER_KILL_MS,
+                    ShutdownDeadline.earliestKillMs(config.settings()) + PREDECESSOR_EXIT_MARGIN_MS,
                     () -> clients.limitConnections(descriptors.clientConnections()));
         }
         try {
@@ -129,7 +132,7 @@
         }
     }
 
-    /** Where clients are accepted; null until then. */
+    /** The address on which clients are accepted; null before the node listens. */
     SocketAddress listenAddress() {
         return listenAddress;
     }
--- a/src/main/java/quotagateway/node/NodeStateMachine.java
+++ b/src/main/java/quotagateway/node/NodeStateMachine.java
@@ -4,29 +4,32 @@
 import quotagateway.lifecycle.NodeState;
 
 /**
- * The state of a node. States have an order and none is entered twice: a transition that comes late, as when the
- * listener comes up behind SIGTERM, changes nothing. Transitions are made on the event loop; any thread may read.
+ * The state of a node. States are ordered and none is entered twice: a late transition, such as the start of the
+ * listener after SIGTERM, has no effect. Transitions are made on the event loop; any thread may read the state.
  */
 final class NodeStateMachine {
     private final ObjDoubleConsumer<NodeState> onEntered;
     private volatile NodeState state = NodeState.STARTING;
 
-    /** @param onEntered told of each state, and within how many ms responses are due then, 0 for no such time */
+    /**
+     * @param onEntered receives each state that is entered, with the time (ms) within which responses are due then, 0
+     *     if there is none
+     */
     NodeStateMachine(ObjDoubleConsumer<NodeState> onEntered) {
         this.onEntered = onEntered;
     }
 
-    /** The listener is up; false where the node has been told to end before. */
+    /** The listener is up; returns false if the node has been told to shut down before. */
     boolean startServing() {
         return enter(NodeState.SERVING, 0);
     }
 
-    /** SIGTERM has come; all responses are due within so long (ms). False where it has come before. */
+    /** SIGTERM has arrived; all responses are due within this time (ms). Returns false if it arrived before. */
     boolean startDraining(double responsesDueInMs) {
         return enter(NodeState.DRAINING, responsesDueInMs);
     }
 
-    /** Nothing is owed any more: the process may end. */
+    /** No response is owed any more, so the process may end. Returns false if the node had ended before. */
     boolean end() {
         return enter(NodeState.ENDED, 0);
     }
@@ -40,12 +43,12 @@
         return true;
     }
 
-    /** Whether clients are accepted: the listener is up and is to stay. */
+    /** Whether clients are accepted: the listener is up and stays up. */
     boolean isServing() {
         return state == NodeState.SERVING;
     }
 
-    /** Whether the node has not been told to end yet. */
+    /** Whether the node has not been told to shut down yet. */
     boolean isBeforeDraining() {
         return state.compareTo(NodeState.DRAINING) < 0;
     }
--- a/src/main/java/quotagateway/node/NodeTelemetry.java
+++ b/src/main/java/quotagateway/node/NodeTelemetry.java
@@ -16,8 +16,8 @@
 import quotagateway.upstream.Attempt;
 
 /**
- * What operators learn of a node: each thing that happens to it is counted in the metrics and recorded in the event
- * log here, so that the two agree. All of it runs on the event loop.
+ * Reports the events of a node to operators: each is counted in the metrics and recorded in the event log, so that the
+ * two agree. All methods are called on the event loop.
  */
 final class NodeTelemetry {
     private final EventLoopContext loop;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Records an event that is not counted. Once the node has ended only states and violations are recorded: what
-     * else comes then is the loop closing its own connections.
+     * Records an event that is not counted. Once the node has ended, only states and violations are recorded, as all
+     * other events then come from the loop closing its own connections.
      */
     void record(NodeEvent event) {
         if (!nodeEnded || event instanceof NodeEvent.StateEntered || event instanceof NodeEvent.InvariantViolated) {
@@ -41,36 +41,36 @@
         }
     }
 
-    /** From here on events are written as they happen: the process may be killed at any time. */
+    /** From now on events are written as they happen, as the process may be killed at any time. */
     void writeImmediately() {
         eventLog.writeImmediately();
     }
 
-    /** Writes out what has been recorded and not written. */
+    /** Writes the events that are recorded and not written yet. */
     void flush() {
         eventLog.flush();
     }
 
     // ---- the process ----
 
-    /** The node has entered a state; responses are due within so long (ms), 0 where the state has no such time. */
+    /** The node has entered a state; responses are due within this time (ms), 0 if the state has no such time. */
     void onStateEntered(NodeState state, double responsesDueInMs) {
         nodeEnded = state == NodeState.ENDED;
         record(new NodeEvent.StateEntered(state, responsesDueInMs));
     }
 
-    /** An invariant does not hold: the log also gets what led to it, where it concerns a request. */
+    /** An invariant is violated. If that concerns a request, the events that led to it are logged too. */
     void onInvariantViolated(Invariant invariant, String requestId) {
         metrics.countViolation(invariant);
         if (requestId != null) {
-            eventLog.explain(requestId);
+            eventLog.writeEventsOf(requestId);
         }
         record(new NodeEvent.InvariantViolated(invariant, requestId));
     }
 
     // ---- requests ----
 
-    /** A request was accepted; its response is due within so long (ms). */
+    /** A request was accepted; its response is due within this time (ms). */
     void onRequestAccepted(ClientCommand command, ResponseSlot slot, double responseDueInMs) {
         record(new NodeEvent.RequestAccepted(
                 command.id(),
@@ -81,19 +81,19 @@
                 responseDueInMs));
     }
 
-    /** A request has its final response; reason is null where it was fulfilled, or where the policy gave none. */
+    /** A request has its final response; the reason is null if it was fulfilled or the policy gave no reason. */
     void onRequestCompleted(ClientCommand command, RequestOutcome outcome, FailureReason reason) {
         metrics.countUnserved(outcome, reason);
         metrics.countCompleted(command.requestClass(), outcome);
         record(new NodeEvent.RequestCompleted(command.id(), outcome, reason));
     }
 
-    /** The client of a request has disconnected before its response. */
+    /** The client of a request has disconnected before the response. */
     void onRequestAbandoned(ClientCommand command) {
         record(new NodeEvent.RequestAbandoned(command.id()));
     }
 
-    /** A response that was streamed has ended; outcome is null where its client has disconnected. */
+    /** A streamed response has ended; the outcome is null if its client has disconnected. */
     void onStreamEnded(ClientCommand command, RequestOutcome outcome) {
         if (outcome != null) {
             metrics.countCompleted(command.requestClass(), outcome);
@@ -102,7 +102,7 @@
 
     // ---- attempts ----
 
-    /** An attempt is sent; previous is the outcome of the one before it, null for the first. */
+    /** An attempt is sent; {@code previous} is the outcome of the attempt before it, null for the first one. */
     void onAttemptSent(ClientCommand command, Attempt attempt, CallOutcome previous) {
         if (previous != null) {
             metrics.countRetry(previous);
@@ -110,18 +110,18 @@
         record(new NodeEvent.AttemptSent(command.id(), attempt.number(), attempt.endpoint(), previous));
     }
 
-    /** An attempt that the policy has decided on is not sent. */
+    /** An attempt that the policy decided on is not sent. */
     void onAttemptDenied(ClientCommand command, Attempt attempt, SendDenial denial) {
         metrics.countDenied(denial);
         record(new NodeEvent.AttemptDenied(command.id(), attempt.number(), denial));
     }
 
-    /** The last byte of an attempt is written. */
+    /** The last byte of an attempt has been written. */
     void onAttemptWritten() {
         metrics.countForwarded();
     }
 
-    /** An attempt has ended, so long (ms) after it was sent. */
+    /** An attempt has ended, this long (ms) after it was sent. */
     void onAttemptEnded(ClientCommand command, Attempt attempt, CallOutcome outcome, double tookMs) {
         record(new NodeEvent.AttemptEnded(command.id(), attempt.number(), attempt.endpoint(), outcome, tookMs));
     }
--- a/src/main/java/quotagateway/node/PolicyActionExecutor.java
+++ b/src/main/java/quotagateway/node/PolicyActionExecutor.java
@@ -8,11 +8,11 @@
 import quotagateway.upstream.Attempt;
 
 /**
- * Carries out what the policy decides. Actions on a request that has been completed or released meanwhile change
- * nothing. Outcomes are reported to the policy behind the event that led to the action, never during it.
+ * Executes the actions of the policy. Actions on a request that has been completed or released meanwhile have no
+ * effect. Outcomes are reported to the policy after the event that led to the action, never during it.
  */
 final class PolicyActionExecutor implements PolicyActions {
-    /** A timer on which the policy has failed comes once more after this (ms). */
+    /** Delay (ms) after which a timer on which the policy failed fires again. */
     private static final double FAILED_TIMER_RETRY_MS = 20;
 
     private final EventLoopContext loop;
@@ -35,10 +35,10 @@
     }
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAtMs) {
         ActiveRequest request = requests.find(requestId);
         if (request != null) {
-            attemptHandler.send(request, endpoint, timeoutAt);
+            attemptHandler.send(request, endpoint, timeoutAtMs);
         }
     }
 
@@ -50,7 +50,7 @@
         }
         List<Attempt> attempts = request.attempts();
         if (number >= 0 && number < attempts.size()) {
-            attemptHandler.cancelSoon(attempts.get(number));
+            attemptHandler.cancelAfterEvent(attempts.get(number));
         }
     }
 
@@ -80,12 +80,15 @@
         }
     }
 
-    /** The policy keeps one timer for everything: were it lost with an exception, nothing would be due again. */
+    /**
+     * Schedules the timer again if the policy fails on it: the policy has a single timer, and if an exception lost it,
+     * nothing in the policy would become due again.
+     */
     @Override
     public void scheduleTimer(double delayMs, long token) {
         double dueAtMs = loop.now() + delayMs;
         loop.schedule(delayMs, () -> {
-            if (!policy.tell(p -> p.onTimer(Math.max(loop.now(), dueAtMs), token))) {
+            if (!policy.deliver(p -> p.onTimer(Math.max(loop.now(), dueAtMs), token))) {
                 scheduleTimer(FAILED_TIMER_RETRY_MS, token);
             }
         });
--- a/src/main/java/quotagateway/node/PolicyInvoker.java
+++ b/src/main/java/quotagateway/node/PolicyInvoker.java
@@ -10,8 +10,8 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * Holds the policy and passes events to it. An exception in the policy is logged and never reaches the event loop:
- * it costs the event that it came with, not the connection that the event came from. All of it runs on the loop.
+ * Holds the policy and delivers events to it. An exception in the policy is logged and never reaches the event loop: it
+ * loses the event, not the connection that the event came from. All methods are called on the event loop.
  */
 final class PolicyInvoker {
     private final EventLoopContext loop;
@@ -21,18 +21,21 @@
         this.loop = loop;
     }
 
-    /** Makes the policy, before any event. What its factory throws is the caller's: a node cannot do without. */
+    /**
+     * Creates the policy, before any event. Exceptions of the factory reach the caller, as a node cannot run without a
+     * policy.
+     */
     void create(PolicyFactory factory, GatewayConfig config, PolicyActions actions) {
         policy = factory.create(config.settings(), config.seed(), loop.now(), actions);
     }
 
-    /** Whether there is a policy yet: the admin endpoint is up before it. */
+    /** Whether the policy exists; the admin endpoint is available before that. */
     boolean isCreated() {
         return policy != null;
     }
 
-    /** Passes an event to the policy; false where an exception has ended it. */
-    boolean tell(Consumer<PolicyEvents> event) {
+    /** Delivers an event to the policy; returns false if the policy threw an exception. */
+    boolean deliver(Consumer<PolicyEvents> event) {
         try {
             event.accept(policy);
             return true;
@@ -42,32 +45,32 @@
         }
     }
 
-    private <T> T ask(Function<PolicyEvents, T> question, T answerOnFailure) {
+    private <T> T query(Function<PolicyEvents, T> call, T fallback) {
         try {
-            return question.apply(policy);
+            return call.apply(policy);
         } catch (RuntimeException | Error e) {
             loop.logFailure("policy", e);
-            return answerOnFailure;
+            return fallback;
         }
     }
 
-    /** Cordons an endpoint or takes its cordon off; false where no list has ever named it. */
+    /** Cordons an endpoint or removes its cordon; returns false if no list has ever named the endpoint. */
     boolean setCordoned(String endpoint, boolean cordoned) {
-        return ask(p -> p.setCordoned(loop.now(), endpoint, cordoned), false);
+        return query(p -> p.setCordoned(loop.now(), endpoint, cordoned), false);
     }
 
-    /** These endpoints are cordoned and no others. */
+    /** Cordons these endpoints and no others. */
     void replaceCordons(Set<String> endpoints) {
-        tell(p -> p.replaceCordons(loop.now(), endpoints));
+        deliver(p -> p.replaceCordons(loop.now(), endpoints));
     }
 
-    /** How many endpoints are listed; 0 before there is a policy. */
+    /** Returns the number of listed endpoints; 0 before the policy exists. */
     int endpointCount() {
         return policy == null ? 0 : policy.endpointCount();
     }
 
-    /** How many of the listed endpoints get nothing new at present; 0 before there is a policy. */
+    /** Returns the number of listed endpoints that currently get no new requests; 0 before the policy exists. */
     int unavailableEndpointCount() {
-        return policy == null ? 0 : ask(p -> p.unavailableEndpointCount(loop.now()), 0);
+        return policy == null ? 0 : query(p -> p.unavailableEndpointCount(loop.now()), 0);
     }
 }
--- a/src/main/java/quotagateway/node/ProcessHandover.java
+++ b/src/main/java/quotagateway/node/ProcessHandover.java
@@ -7,15 +7,19 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Which process serves as this gateway. The file {@code serving-NAME}, in the folder that a new version shares with
- * the one that it replaces, names the process that has listened last, as {@code PID NANOS}; so a process learns at its
- * start whether there is another, and at its end whether another has taken its place. Processes of other versions read
- * and write it too: its name and form are fixed. All methods block on files and are called from beside the event loop.
+ * Determines which process serves as this gateway. The file {@code serving-NAME}, in the directory that a new version
+ * shares with the one it replaces, names the process that was the last to listen, as {@code PID NANOS}. From the file,
+ * a process learns at its start whether there is another one, and at its end whether another one has replaced it.
+ * Processes of other versions read and write the file too, so its name and format are fixed. All methods block on files
+ * and are not called on the event loop.
  */
 final class ProcessHandover {
     private final Path file;
-    /** The time tells apart nodes in one process, and processes that get the same id one after the other. */
-    private final String ownMark = ProcessHandle.current().pid() + " " + System.nanoTime();
+    /**
+     * Identifies this process. The time distinguishes nodes in one process, and processes that get the same id one
+     * after the other.
+     */
+    private final String processMark = ProcessHandle.current().pid() + " " + System.nanoTime();
 
     /**
      * @param folder the state directory
@@ -25,30 +29,33 @@
         file = folder.resolve("serving-" + name);
     }
 
-    /** From here on this process serves. Where that cannot be written, its predecessor only ends more slowly. */
+    /** Records that this process serves from now on. If the write fails, the predecessor only takes longer to end. */
     void claim() {
         try {
-            Path next = file.resolveSibling(
+            Path temporaryFile = file.resolveSibling(
                     file.getFileName() + "." + ProcessHandle.current().pid());
-            Files.writeString(next, ownMark);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporaryFile, processMark);
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             System.err.println("handover: " + e);
         }
     }
 
-    /** Whether this process, which has not claimed yet, may run beside another: a plain start has an empty folder. */
+    /**
+     * Whether this process, which has not called {@link #claim} yet, may run alongside another one; at an ordinary
+     * start the directory is empty.
+     */
     boolean hasPredecessor() {
         return Files.exists(file);
     }
 
-    /** Whether another process has claimed since this one did; false where that cannot be read. */
+    /** Whether another process has claimed since this one did; false if the file cannot be read. */
     boolean hasSuccessor() {
         try {
             return Files.exists(file)
-                    && !Files.readString(file, StandardCharsets.UTF_8).equals(ownMark);
+                    && !Files.readString(file, StandardCharsets.UTF_8).equals(processMark);
         } catch (IOException e) {
-            return false; // the slower shutdown, which keeps listening, is right with and without a successor
+            return false; // the slower shutdown, which keeps listening, is correct with and without a successor
         }
     }
 }
--- a/src/main/java/quotagateway/node/ReloadSignal.java
+++ b/src/main/java/quotagateway/node/ReloadSignal.java
@@ -3,16 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Catches SIGHUP, which asks for the configuration to be read again, and which ends a JVM that does not catch it. The
- * module jdk.unsupported has the one way to do that; it is used by reflection, as the compiler warns of its names in a
- * way that cannot be suppressed in the source. A signal that comes before there is a node is kept for it: the
- * configuration has been read by then.
+ * Handles SIGHUP, which requests that the configuration is read again, and which ends a JVM without a handler for it.
+ * Only the module jdk.unsupported offers signal handlers. It is used by reflection, as the compiler's warnings about
+ * its names cannot be suppressed in the source. A signal that arrives before the node exists is handled once it does,
+ * as the configuration may have been read before the signal.
  */
 public final class ReloadSignal {
     private Runnable action;
     private boolean pending;
 
-    /** Catches each SIGHUP from here on; it arrives on a thread of the JVM's own. */
+    /** Handles each SIGHUP from now on; signals arrive on a thread of the JVM. */
     public void install() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -32,11 +32,11 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
         } catch (ReflectiveOperationException e) {
-            System.err.println("SIGHUP cannot be caught: " + e);
+            System.err.println("SIGHUP handler cannot be installed: " + e);
         }
     }
 
-    /** A signal has come. */
+    /** A signal has arrived. */
     synchronized void onSignal() {
         if (action == null) {
             pending = true;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Sets what is run for each signal from here on, and runs it now, once, where any have come before. */
+    /** Sets the action that runs for each signal from now on, and runs it now, once, if any signals arrived before. */
     public synchronized void setAction(Runnable newAction) {
         action = newAction;
         if (pending) {
--- a/src/main/java/quotagateway/node/RequestTable.java
+++ b/src/main/java/quotagateway/node/RequestTable.java
@@ -16,16 +16,16 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * The requests of a node. Each that is added gets one final response, or none where its client has disconnected;
- * that completes it. It stays here until its last attempt has ended too, as only then its memory is given back and
- * its id may come again. All of it runs on the event loop.
+ * The requests of a node. Each request gets one final response, or none if its client has disconnected, and is
+ * completed by that. It stays in the table until its last attempt has ended too, as only then its memory is released
+ * and its id may be used again. All methods are called on the event loop.
  */
 final class RequestTable {
-    /** Taken off a client's wait (ms): a response at the end of it has its way back still to go. */
+    /** Subtracted from a client's timeout (ms), as the response takes time to reach the client. */
     private static final double RESPONSE_MARGIN_MS = 10;
     /**
-     * The policy learns at a request's deadline that its attempts have timed out. Where it has not answered so long
-     * (ms) after that, the request fails: still within the margin.
+     * The policy learns at a request's deadline that its attempts have timed out. If it has not responded this long
+     * (ms) after the deadline, the request fails, still within the margin.
      */
     private static final double POLICY_GRACE_MS = 8;
 
@@ -40,7 +40,9 @@
     private final LongObjectHashMap<ActiveRequest> requestsById = new LongObjectHashMap<>();
     private final Set<String> clientIds = new HashSet<>();
     private long lastId;
-    /** Requests that are owed a response or the rest of one: fewer than are in the table. */
+    /**
+     * Requests that are owed a response or the rest of a streamed one; completed requests in the table do not count.
+     */
     private int openCount;
 
     private double responsesDueAtMs = NO_SHUTDOWN;
@@ -60,14 +62,14 @@
         this.memory = memory;
     }
 
-    // ---- what is in it ----
+    // ---- contents ----
 
-    /** A number for the next request. */
+    /** Returns the number for the next request. */
     long nextId() {
         return ++lastId;
     }
 
-    /** Takes a request in; from here on it is owed a response, by its deadline. */
+    /** Adds a request; from now on it is owed a response, by its deadline. */
     void add(ActiveRequest request) {
         requestsById.put(request.id(), request);
         clientIds.add(request.clientId());
@@ -77,34 +79,37 @@
         request.deadline().start(() -> onDeadlinePassed(request));
     }
 
-    /** The request of this number, or null where it has been released. */
+    /** Returns the request with this number, or null if it has been released. */
     ActiveRequest find(long id) {
         return requestsById.get(id);
     }
 
-    /** Whether a request with this id of its client's has not been released yet. */
+    /** Whether a request with this client id has not been released yet. */
     boolean hasClientId(String clientId) {
         return clientIds.contains(clientId);
     }
 
-    /** How many requests are owed a response, or the rest of one that is streamed. */
+    /** Returns the number of requests that are owed a response, or the rest of a streamed one. */
     int openCount() {
         return openCount;
     }
 
     // ---- deadlines ----
 
-    /** Within what time (ms) from now a response is due to a client that waits for so long (ms); 1 at the least. */
+    /**
+     * Returns the time (ms) from now within which a response is due to a client that waits for {@code clientWaitMs}; at
+     * least 1.
+     */
     double responseTimeMs(double now, double clientWaitMs) {
         return Math.max(1, Math.min(clientWaitMs, responsesDueAtMs - now) - RESPONSE_MARGIN_MS);
     }
 
-    /** Whether the time has passed by which all responses were due in a shutdown. */
-    boolean isPastShutdown(double now) {
+    /** Whether the node shuts down and the time by which all responses were due has passed. */
+    boolean isPastShutdownDeadline(double now) {
         return now >= responsesDueAtMs;
     }
 
-    /** The node shuts down: every request has its response by this time (ms of the loop's clock). */
+    /** The node shuts down: every request gets its response by this time (ms of the loop's clock). */
     void bringDeadlinesForwardTo(double dueAtMs) {
         responsesDueAtMs = dueAtMs;
         for (ActiveRequest request : requestsById.values()) {
@@ -114,10 +119,12 @@
         }
     }
 
-    /** Attempts that are still in flight have timed out, and the policy may respond to that; or else we do. */
+    /**
+     * Ends attempts in flight as timed out, on which the policy may give a response; if it does not, the request fails.
+     */
     private void onDeadlinePassed(ActiveRequest request) {
-        if (!request.isCompleted()) { // first: whatever the ends of the attempts lead to, there is a response
-            request.deadline().extend(POLICY_GRACE_MS, () -> failUndecided(request));
+        if (!request.isCompleted()) { // first, so that there is a response even if ending the attempts fails
+            request.deadline().extend(POLICY_GRACE_MS, () -> failWithoutDecision(request));
         }
         for (Attempt attempt : request.attempts().toArray(new Attempt[0])) {
             endpoints.abandon(attempt, CallOutcome.TIMEOUT);
@@ -126,46 +133,52 @@
 
     // ---- responses ----
 
-    /** Rejects a request that is not completed, with a time (ms) after which to retry where that is over 0. */
+    /** Rejects a request that is not completed; the response has a time (ms) to retry after if that is over 0. */
     void reject(ActiveRequest request, double retryAfterMs, FailureReason reason) {
         String text = retryAfterMs > 0 ? "BUSY " + Math.round(retryAfterMs) : "BUSY";
         respond(request, new ErrorRedisMessage(text), RequestOutcome.THROTTLED, reason);
-        settle(request);
+        releaseIfFinished(request);
     }
 
     /** Fails a request that is not completed. */
     void fail(ActiveRequest request, FailureReason reason) {
         respond(request, new ErrorRedisMessage("ERR failed"), RequestOutcome.FAULTED, reason);
-        settle(request);
+        releaseIfFinished(request);
     }
 
-    /** Fails a request on which the policy has not decided in time, or has thrown; no-op on a completed one. */
-    void failUndecided(ActiveRequest request) {
-        failAgainstPolicy(request, FailureReason.NO_DECISION);
+    /**
+     * Fails a request on which the policy has not decided in time or has thrown an exception; no-op on a completed
+     * request.
+     */
+    void failWithoutDecision(ActiveRequest request) {
+        failAndNotifyPolicy(request, FailureReason.NO_DECISION);
     }
 
-    /** Fails a request whose connection cannot be read any further; no-op on a completed one. */
+    /** Fails a request whose connection cannot be read any further; no-op on a completed request. */
     void onConnectionMalformed(ActiveRequest request) {
-        failAgainstPolicy(request, FailureReason.CONNECTION_MALFORMED);
+        failAndNotifyPolicy(request, FailureReason.CONNECTION_MALFORMED);
     }
 
-    /** To the policy the request has ended as if its client had disconnected: it has nothing more to decide. */
-    private void failAgainstPolicy(ActiveRequest request, FailureReason reason) {
+    /**
+     * Fails a request, and reports to the policy that its client has disconnected, as the policy has nothing more to
+     * decide on it.
+     */
+    private void failAndNotifyPolicy(ActiveRequest request, FailureReason reason) {
         if (!request.isCompleted()) {
             fail(request, reason);
-            policy.tell(p -> p.onClientDisconnected(loop.now(), request.id()));
+            policy.deliver(p -> p.onClientDisconnected(loop.now(), request.id()));
         }
     }
 
     /**
-     * Gives a request its final response, which completes it; the caller settles it. The one place where responses
-     * are given and outcomes counted, but for streamed ones.
+     * Gives a request its final response, which completes it; the caller calls {@link #releaseIfFinished}. All
+     * responses except streamed ones are given, and their outcomes counted, here.
      *
-     * @param message the response, which is the client's connection's to release from here on
-     * @param reason why it was not fulfilled, null where it was or where nothing is known
+     * @param message the response; the client's connection releases it
+     * @param reason why the request was not fulfilled, null if it was or the reason is unknown
      */
     void respond(ActiveRequest request, RedisMessage message, RequestOutcome outcome, FailureReason reason) {
-        double lateMs = request.deadline().clientTimedOutForMs(loop.now());
+        double lateMs = request.deadline().msSinceClientTimeout(loop.now());
         if (!guard.mayRespond(request.clientId(), request.isCompleted(), lateMs)) {
             ReferenceCountUtil.release(message);
             return;
@@ -176,11 +189,11 @@
     }
 
     /**
-     * Gives a request a response that comes bit by bit, which completes it; it stays open until the stream has ended.
+     * Gives a request a streamed response, which completes it; it counts as open until the stream has ended.
      *
      * @param length of the value (bytes)
      */
-    StreamedResponse respondByStream(ActiveRequest request, int length, ResponseSource source) {
+    StreamedResponse respondWithStream(ActiveRequest request, int length, ResponseSource source) {
         complete(request);
         openCount++;
         StreamedResponse stream =
@@ -195,8 +208,8 @@
     }
 
     /**
-     * The client of a request has disconnected; no-op on a completed one. An attempt that is not written yet would
-     * begin behind the client's end, and is cancelled.
+     * The client of a request has disconnected; no-op on a completed request. Attempts that are not written yet are
+     * cancelled, as they would begin after the client's disconnect.
      */
     void onClientDisconnected(ActiveRequest request) {
         if (request.isCompleted()) {
@@ -204,11 +217,11 @@
         }
         telemetry.onRequestAbandoned(request.command());
         complete(request);
-        policy.tell(p -> p.onClientDisconnected(loop.now(), request.id()));
+        policy.deliver(p -> p.onClientDisconnected(loop.now(), request.id()));
         for (Attempt attempt : request.attempts()) {
             loop.execute(() -> endpoints.cancelUnwritten(attempt));
         }
-        settle(request);
+        releaseIfFinished(request);
     }
 
     private void complete(ActiveRequest request) {
@@ -216,9 +229,9 @@
         openCount--;
     }
 
-    /** Releases a request once it is completed and none of its attempts is in flight; else a no-op. */
-    void settle(ActiveRequest request) {
-        if (request.isSettled() && requestsById.remove(request.id()) != null) {
+    /** Releases a request if it is completed and none of its attempts is in flight; otherwise a no-op. */
+    void releaseIfFinished(ActiveRequest request) {
+        if (request.isFinished() && requestsById.remove(request.id()) != null) {
             request.release();
             clientIds.remove(request.clientId());
             memory.release(request.bufferedBytes());
--- a/src/main/java/quotagateway/node/ResponseDeadline.java
+++ b/src/main/java/quotagateway/node/ResponseDeadline.java
@@ -4,11 +4,11 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * By when a request has to have its response, and the timer that waits for that moment. Times are milliseconds of
- * the loop's clock.
+ * The time by which a request has to have its response, and the timer for it. Times are milliseconds of the loop's
+ * clock.
  */
 final class ResponseDeadline {
-    /** The timer is set so long (ms) behind the deadline, so that it has passed by the clock too when it runs. */
+    /** The timer fires this long (ms) after the deadline, so that the deadline has passed by the clock too. */
     private static final double TIMER_MARGIN_MS = 1;
 
     private final EventLoopContext loop;
@@ -19,7 +19,7 @@
 
     /**
      * @param clientTimeoutAtMs when the client stops waiting
-     * @param dueAtMs when the response is due, earlier than that by its way back
+     * @param dueAtMs when the response is due, which leaves it time to reach the client before its timeout
      */
     ResponseDeadline(EventLoopContext loop, double clientTimeoutAtMs, double dueAtMs) {
         this.loop = loop;
@@ -27,13 +27,13 @@
         this.dueAtMs = dueAtMs;
     }
 
-    /** Runs an action once the deadline has passed, unless it is cancelled before; called once. */
+    /** Runs an action once the deadline has passed, unless cancelled before; called once. */
     void start(Runnable onPassed) {
         this.onPassed = onPassed;
         timer = loop.schedule(remainingMs() + TIMER_MARGIN_MS, onPassed);
     }
 
-    /** Makes the response due at this time, where it was due later. */
+    /** Moves the deadline to this time, if the deadline is later. */
     void bringForwardTo(double newDueAtMs) {
         if (dueAtMs > newDueAtMs) {
             dueAtMs = newDueAtMs;
@@ -42,12 +42,12 @@
         }
     }
 
-    /** Behind the deadline: runs one more action after a grace (ms), unless it is cancelled before. */
-    void extend(double graceMs, Runnable onGraceOver) {
-        timer = loop.schedule(graceMs, onGraceOver);
+    /** Runs one more action after a grace period (ms), unless cancelled before; called once the deadline has passed. */
+    void extend(double graceMs, Runnable onGraceExpired) {
+        timer = loop.schedule(graceMs, onGraceExpired);
     }
 
-    /** Runs none of the actions any more. */
+    /** Cancels the action that is scheduled. */
     void cancel() {
         timer.cancel(false);
     }
@@ -56,7 +56,7 @@
         return dueAtMs;
     }
 
-    /** How long (ms) there is until the response is due; negative once that has passed. */
+    /** Returns the time (ms) until the response is due; negative after that. */
     double remainingMs() {
         return dueAtMs - loop.now();
     }
@@ -65,8 +65,8 @@
         return now >= dueAtMs;
     }
 
-    /** How long (ms) the client has stopped waiting; negative while it waits. */
-    double clientTimedOutForMs(double now) {
+    /** Returns the time (ms) since the client stopped waiting; negative while it waits. */
+    double msSinceClientTimeout(double now) {
         return now - clientTimeoutAtMs;
     }
 }
--- a/src/main/java/quotagateway/node/ShutdownDeadline.java
+++ b/src/main/java/quotagateway/node/ShutdownDeadline.java
@@ -4,28 +4,31 @@
 import quotagateway.policy.api.RequestClass;
 
 /**
- * How long a node has between SIGTERM and SIGKILL: the longest deadline of any request class, counted as 3 s where it
- * is longer, and 0.7 s. SIGKILL may come right then.
+ * The time that a node has between SIGTERM and SIGKILL: the longest deadline of any request class, limited to 3 s, plus
+ * 0.7 s. SIGKILL may come exactly then.
  */
 final class ShutdownDeadline {
-    /** From the end of the longest deadline to the earliest SIGKILL (ms). */
+    /** Time (ms) from the end of the longest deadline to the earliest SIGKILL. */
     private static final double KILL_AFTER_DEADLINE_MS = 700;
-    /** A longer deadline counts as this (ms). */
+    /** A longer deadline is counted as this (ms). */
     private static final double MAX_COUNTED_DEADLINE_MS = 3000;
     /**
-     * Taken off the time to the earliest SIGKILL (ms): a node may be held up for 150 ms as the signal comes, and
-     * again as it writes its last responses.
+     * Subtracted from the time to the earliest SIGKILL (ms): a node may stall for 150 ms when the signal arrives, and
+     * again when it writes its last responses.
      */
-    private static final double RESERVE_MS = 300;
+    private static final double STALL_RESERVE_MS = 300;
 
     private ShutdownDeadline() {}
 
-    /** How long after SIGTERM (ms) all accepted requests have to have their responses. */
+    /** Returns the time (ms) after SIGTERM by which all accepted requests have to have their responses. */
     static double responsesDueInMs(PolicySettings settings) {
-        return earliestKillMs(settings) - RESERVE_MS;
+        return earliestKillMs(settings) - STALL_RESERVE_MS;
     }
 
-    /** How long after SIGTERM (ms) SIGKILL may come; without a deadline in the settings the longest is assumed. */
+    /**
+     * Returns the earliest time (ms) after SIGTERM at which SIGKILL may come; if the settings have no deadline, the
+     * longest one is assumed.
+     */
     static double earliestKillMs(PolicySettings settings) {
         double longest = settings.requestClasses().stream()
                 .mapToDouble(RequestClass::deadline)
--- a/src/main/java/quotagateway/startup/JitWarmup.java
+++ b/src/main/java/quotagateway/startup/JitWarmup.java
@@ -30,22 +30,22 @@
 import quotagateway.upstream.EndpointPool;
 
 /**
- * Runs the code of an ordinary request before the gateway is ready, so that the JIT compiler has seen it: with a part
- * of a core, the first seconds of interpreted code make responses late. It uses a policy of its own, no sockets, and
- * a clock of its own.
+ * Runs the code of an ordinary request before the gateway is ready, so that the JIT compiler has seen it: on a fraction
+ * of a core, interpreted code makes the responses of the first seconds late. The warm-up uses a policy and a clock of
+ * its own, and no sockets.
  */
 public final class JitWarmup implements PolicyActions {
     /**
-     * A restart waits for the warm-up, and after a mass kill few other gateways carry the load meanwhile: 100 rounds
-     * kept ten of 14 nodes away 0.6 s longer. With 2 rounds the first 5 s of a day, on 0.15 of a core, were so slow
-     * that a tenth of the requests timed out. Most code runs several times a round and so reaches the compiler's
-     * threshold of 200 calls; real requests warm the rest.
+     * Number of requests of the warm-up. A restart waits for the warm-up, and after a mass kill few other gateways
+     * carry the load meanwhile: 100 rounds kept 10 of 14 nodes unavailable for 0.6 s longer. With 2 rounds, the first 5
+     * s of a run on 0.15 of a core were so slow that a tenth of the requests timed out. Most code runs several times a
+     * round and so reaches the compiler's threshold of 200 calls; real requests warm up the rest.
      */
     private static final int ROUNDS = 40;
     /**
-     * The most that the warm-up takes (ms) of the 10 s, on short days 6 s, that a start may last. On a seventh of a
-     * core beside other processes that start it would take longer, and a gateway with interpreted code is better than
-     * none.
+     * How long (ms) the warm-up takes at the most, of the 10 s (6 s in short runs) that a start may last. On a seventh
+     * of a core, alongside other processes that start, all rounds would take longer, and a gateway with interpreted
+     * code is better than none.
      */
     public static final double MAX_TIME_MS = 2500;
 
@@ -53,9 +53,9 @@
     private static final int ENDPOINTS = 8;
     private static final int CUSTOMERS = 97;
     private static final int CUSTOMER_DIGITS = 16;
-    /** Time of the virtual clock between two rounds, and the time that an attempt takes. */
+    /** Time (ms) between two rounds on the virtual clock, and the duration of an attempt. */
     private static final double STEP_MS = 8;
-    /** Elements of an array at the most, as on the real connections. */
+    /** The most elements of an array, as on the real connections. */
     private static final int MAX_ELEMENTS = 16;
 
     private final PolicySettings settings;
@@ -79,19 +79,19 @@
         policy.onEndpoints(now, endpoints, true);
     }
 
-    /** Runs the warm-up. Interpreted code is no reason not to start: a failure in here is logged and left. */
+    /** Runs the warm-up. A failure is logged and ignored, as interpreted code is no reason not to start. */
     public static void run(PolicySettings settings, PolicyFactory policyFactory) {
         run(settings, policyFactory, () -> System.nanoTime() / NANOS_PER_MS);
     }
 
     static void run(PolicySettings settings, PolicyFactory policyFactory, DoubleSupplier clockMs) {
         try {
-            double until = clockMs.getAsDouble() + MAX_TIME_MS;
+            double stopAtMs = clockMs.getAsDouble() + MAX_TIME_MS;
             JitWarmup warmup = new JitWarmup(settings, policyFactory);
             boolean hasRequests =
                     !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
-            for (int i = 1; hasRequests && i <= ROUNDS && clockMs.getAsDouble() < until; i++) {
-                warmup.round(i);
+            for (int i = 1; hasRequests && i <= ROUNDS && clockMs.getAsDouble() < stopAtMs; i++) {
+                warmup.runRound(i);
             }
             warmup.close();
         } catch (RuntimeException e) {
@@ -104,19 +104,19 @@
         endpointChannel.finishAndReleaseAll();
     }
 
-    /** One request from its bytes to its response, with the timers and events that have come due. */
-    private void round(int number) {
+    /** Runs one request from its bytes to its response, then the timers and events that have become due. */
+    private void runRound(int number) {
         clientChannel.writeInbound(commandBytes(number));
         ArrayRedisMessage command = clientChannel.readInbound();
         ClientCommand parsed = ClientCommand.parse(command, settings);
-        policy.onRequest(now, request(number, parsed));
-        writeAndDrop(
+        policy.onRequest(now, toIncomingRequest(number, parsed));
+        writeAndRelease(
                 endpointChannel, parsed.encodeForEndpoint(command, parsed.clientTimeoutMs(), endpointChannel.alloc()));
         endpointChannel.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
         ArrayRedisMessage response = endpointChannel.readInbound();
-        writeAndDrop(
+        writeAndRelease(
                 clientChannel, ReferenceCountUtil.retain(response.children().get(0)));
-        writeAndDrop(clientChannel, new ErrorRedisMessage("BUSY 2000"));
+        writeAndRelease(clientChannel, new ErrorRedisMessage("BUSY 2000"));
         ReferenceCountUtil.release(response);
         ReferenceCountUtil.release(command);
         now += STEP_MS;
@@ -124,16 +124,16 @@
         runPendingEvents();
     }
 
-    /** Only those that are there now: a new one may be due at once. */
+    /** Fires only timers that exist at the call, as a new one may be due immediately. */
     private void fireDueTimers() {
-        for (int n = timers.size(); n > 0 && timers.peek() <= now; n--) {
+        for (int remaining = timers.size(); remaining > 0 && timers.peek() <= now; remaining--) {
             timers.poll();
             policy.onTimer(now, 0);
         }
     }
 
     private void runPendingEvents() {
-        for (int n = pendingEvents.size(); n > 0; n--) {
+        for (int remaining = pendingEvents.size(); remaining > 0; remaining--) {
             pendingEvents.poll().run();
         }
     }
@@ -145,10 +145,10 @@
         String verb = requestClass.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
         String fields = "c=" + requestClass.name() + ",t=" + plan.name() + ",d=" + Math.round(requestClass.deadline())
                 + ",k=" + number + ",units=1,spread=" + Math.min(2, settings.nodeCount()) + ",first=0";
-        return bytes(array(verb, customer(number % CUSTOMERS), Integer.toHexString(number), fields));
+        return bytes(encodeArray(verb, customer(number % CUSTOMERS), Integer.toHexString(number), fields));
     }
 
-    private static IncomingRequest request(int number, ClientCommand parsed) {
+    private static IncomingRequest toIncomingRequest(int number, ClientCommand parsed) {
         return new IncomingRequest(
                 number,
                 parsed.requestClass(),
@@ -161,13 +161,16 @@
                 parsed.retry());
     }
 
-    /** Hexadecimal digits without {@code Formatter}, whose locales are among the most expensive classes of a start. */
+    /**
+     * Formats 16 hexadecimal digits without {@code Formatter}, whose locales are among the most expensive classes of a
+     * start.
+     */
     private static String customer(int number) {
         String hex = Integer.toHexString(number);
         return "0".repeat(CUSTOMER_DIGITS - hex.length()) + hex;
     }
 
-    private static String array(String... words) {
+    private static String encodeArray(String... words) {
         StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
         for (String word : words) {
             text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -179,17 +182,17 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
-    private static void writeAndDrop(EmbeddedChannel channel, Object message) {
+    private static void writeAndRelease(EmbeddedChannel channel, Object message) {
         channel.writeOutbound(message);
         for (Object written = channel.readOutbound(); written != null; written = channel.readOutbound()) {
             ReferenceCountUtil.release(written);
         }
     }
 
-    // The host's side: attempts succeed, the counter adds, timers go by the clock of the rounds.
+    // ---- actions of the policy: attempts succeed, the counter adds, timers use the virtual clock ----
 
     @Override
-    public void sendAttempt(long requestId, String endpoint, double timeoutAt) {
+    public void sendAttempt(long requestId, String endpoint, double timeoutAtMs) {
         pendingEvents.add(
                 () -> policy.onAttemptEnded(now, requestId, 0, CallOutcome.OK, STEP_MS, true, 0, EndpointPool.NO_LOAD));
     }
--- a/src/main/java/quotagateway/startup/StartupRecording.java
+++ b/src/main/java/quotagateway/startup/StartupRecording.java
@@ -14,30 +14,30 @@
 
 /**
  * Stand-ins on loopback for one start and stop of a gateway at build time, so that the JVM can write an archive of the
- * classes that a start loads. Nothing else is kept of such a run.
+ * classes that a start loads. The results of the run itself are not kept.
  */
 public final class StartupRecording implements AutoCloseable {
     private static final int BACKLOG = 50;
     private static final int READ_BUFFER_BYTES = 1024;
     private static final String ENDPOINT = "s";
 
-    private final ServerSocket peers = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final ServerSocket serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final Path configFile = Files.createTempFile("startup-recording", ".json");
 
-    /** Starts the stand-ins; throws {@link IOException} where no socket or file can be had. */
+    /** Starts the stand-ins; throws {@link IOException} if a socket or file cannot be created. */
     public StartupRecording() throws IOException {
-        String list = endpointList(peers.getLocalPort());
-        Files.writeString(configFile, configuration(peers.getLocalPort(), list));
-        startDaemon(() -> acceptPeers(discoveryResponse(list)));
+        String list = endpointList(serverSocket.getLocalPort());
+        Files.writeString(configFile, configuration(serverSocket.getLocalPort(), list));
+        startDaemon(() -> acceptConnections(discoveryResponse(list)));
     }
 
-    /** The environment for the gateway to start with. */
+    /** Returns the environment for the gateway to start with. */
     public Map<String, String> environment() {
         return Map.of("EDGE_CONFIG", configFile.toString());
     }
 
-    /** Sends one command as a client, and each call of the admin endpoint. */
-    public void exercise(InetSocketAddress clientAddress, InetSocketAddress adminAddress) throws IOException {
+    /** Sends one command as a client, and calls to the admin endpoint. */
+    public void sendSampleCalls(InetSocketAddress clientAddress, InetSocketAddress adminAddress) throws IOException {
         try (Socket client = new Socket(clientAddress.getAddress(), clientAddress.getPort())) {
             client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().read();
@@ -45,12 +45,12 @@
         callAdmin(adminAddress, "GET " + AdminServer.HEALTH_PATH);
         callAdmin(adminAddress, "GET " + AdminServer.METRICS_PATH);
         callAdmin(adminAddress, "POST " + AdminServer.UNCORDON_PATH + ENDPOINT);
-        Files.delete(configFile); // here, as the process exits before anything is closed
+        Files.delete(configFile); // not in close(), as the process exits before that
     }
 
     @Override
     public void close() throws IOException {
-        peers.close();
+        serverSocket.close();
     }
 
     private static void callAdmin(InetSocketAddress address, String call) throws IOException {
@@ -61,25 +61,28 @@
         }
     }
 
-    /** Discovery, the counter and endpoints share one port: what speaks HTTP is a call to discovery. */
-    private void acceptPeers(byte[] discoveryResponse) {
+    /**
+     * Accepts connections of discovery, the counter and endpoints, which share one port; HTTP requests are calls to
+     * discovery.
+     */
+    private void acceptConnections(byte[] discoveryResponse) {
         try {
             while (true) {
-                Socket peer = peers.accept();
-                startDaemon(() -> answerDiscoveryCalls(peer, discoveryResponse));
+                Socket connection = serverSocket.accept();
+                startDaemon(() -> answerDiscoveryCalls(connection, discoveryResponse));
             }
         } catch (IOException e) {
-            // closed: the recording has ended
+            // the server socket is closed: the recording has ended
         }
     }
 
-    private static void answerDiscoveryCalls(Socket peer, byte[] response) {
-        try (peer) {
-            InputStream input = peer.getInputStream();
+    private static void answerDiscoveryCalls(Socket connection, byte[] response) {
+        try (connection) {
+            InputStream input = connection.getInputStream();
             byte[] buffer = new byte[READ_BUFFER_BYTES];
             for (int length = input.read(buffer); length >= 0; length = input.read(buffer)) {
                 if (new String(buffer, 0, length, StandardCharsets.US_ASCII).startsWith("GET")) {
-                    peer.getOutputStream().write(response);
+                    connection.getOutputStream().write(response);
                 }
             }
         } catch (IOException e) {
--- a/src/main/java/quotagateway/startup/StartupTimeline.java
+++ b/src/main/java/quotagateway/startup/StartupTimeline.java
@@ -5,17 +5,18 @@
 import java.nio.file.Path;
 
 /**
- * Logs how long the phases of a start took, in one line of every start: while a gateway starts it is down, and the
- * others carry its load. Each phase has wall time and CPU time (ms) since the process began, as the system counts them
- * in hundredths of a second; with a part of a core the two differ by what the process was held back.
+ * Logs the duration of the phases of a start, in one line, as a gateway is unavailable while it starts and other
+ * gateways carry its load. Each phase has the wall time and the CPU time (ms) since the process began, which the system
+ * counts in hundredths of a second; on a fraction of a core, the difference of the two is the time for which the
+ * process was held back.
  */
 public final class StartupTimeline {
-    /** Fields of {@code /proc/self/stat}, counted from behind the process name in parentheses. */
+    /** Fields of {@code /proc/self/stat}, counted from the end of the process name in parentheses. */
     private static final int USER_TIME_FIELD = 11;
 
     private static final int SYSTEM_TIME_FIELD = 12;
     private static final int START_TIME_FIELD = 19;
-    /** Length of the system's clock tick (ms). */
+    /** Length (ms) of the system's clock tick. */
     private static final int TICK_MS = 10;
 
     private static final long FIRST_USED_NANOS = System.nanoTime();
@@ -23,23 +24,23 @@
 
     private StartupTimeline() {}
 
-    /** How long (ms) the program has run since its first use of this class. */
+    /** Returns the time (ms) since the program first used this class. */
     public static double elapsedMs() {
         return (System.nanoTime() - FIRST_USED_NANOS) / 1e6;
     }
 
-    /** Notes the end of a phase. */
+    /** Records the end of a phase. */
     public static synchronized void phaseEnded(String phase) {
-        LINE.append(' ').append(phase).append(' ').append(times()).append(',');
+        LINE.append(' ').append(phase).append(' ').append(wallAndCpuTime()).append(',');
     }
 
-    /** Notes the end of the last phase and logs the line. */
-    public static synchronized void log(String phase) {
-        System.err.println(LINE.append(' ').append(phase).append(' ').append(times()));
+    /** Records the end of the last phase and logs the line. */
+    public static synchronized void finish(String phase) {
+        System.err.println(LINE.append(' ').append(phase).append(' ').append(wallAndCpuTime()));
         LINE.setLength(0);
     }
 
-    private static String times() {
+    private static String wallAndCpuTime() {
         try {
             String stat = Files.readString(Path.of("/proc/self/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
@@ -49,7 +50,7 @@
                     TICK_MS * (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]));
             return Math.round(uptimeMs - TICK_MS * Long.parseLong(fields[START_TIME_FIELD])) + "/" + cpuMs;
         } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
-            return "unknown"; // another system's /proc
+            return "unknown"; // not a Linux /proc
         }
     }
 }
--- a/src/test/java/quotagateway/ArchitectureTest.java
+++ b/src/test/java/quotagateway/ArchitectureTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages run one way; see ARCHITECTURE.md. */
+/** Checks that dependencies between packages run in one direction only; see ARCHITECTURE.md. */
 class ArchitectureTest {
     private static JavaClasses classes;
 
@@ -19,17 +19,17 @@
         classes = new ClassFileImporter()
                 .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                 .importPackages("quotagateway");
-        assertTrue(classes.size() > 50, "classes seen: " + classes.size());
+        assertTrue(classes.size() > 50, "too few classes imported: " + classes.size());
     }
 
     @Test
-    void packagesAreFreeOfCycles() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("quotagateway.(*)..").should().beFreeOfCycles().check(classes);
         slices().matching("quotagateway.policy.(*)..").should().beFreeOfCycles().check(classes);
     }
 
     @Test
-    void policyKnowsNothingOutsideIt() {
+    void policyDependsOnNoOtherPackage() {
         noClasses()
                 .that()
                 .resideInAPackage("quotagateway.policy..")
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void policyApiKnowsNothingOfTheDecisions() {
+    void policyApiDoesNotDependOnItsImplementation() {
         noClasses()
                 .that()
                 .resideInAPackage("quotagateway.policy.api")
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void partsOfThePolicyDoNotKnowWhatTiesThemTogether() {
+    void policySubpackagesDoNotDependOnThePolicyPackage() {
         noClasses()
                 .that()
                 .resideInAPackage("quotagateway.policy.*")
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void decisionsAreReachedThroughTheirPortsAlone() {
+    void otherPackagesDoNotDependOnPolicyImplementations() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("quotagateway.policy..")
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void partsOfTheNodeDoNotKnowTheNode() {
+    void componentPackagesDoNotDependOnTheNodePackage() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void programsDoNotKnowTheScaleToolOrItsLibraries() {
+    void otherPackagesDoNotDependOnTheScaleToolOrItsLibraries() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("quotagateway.scale..")
--- a/src/test/java/quotagateway/MainTest.java
+++ b/src/test/java/quotagateway/MainTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line, as a process: what it writes and how it exits. */
+/** Runs the command line as a process and checks its output and exit code. */
 @Timeout(60)
 class MainTest {
     @TempDir
@@ -39,7 +39,7 @@
         Process process = builder.start();
         process.getOutputStream().close();
         try {
-            assertTrue(process.waitFor(30, TimeUnit.SECONDS), "still runs");
+            assertTrue(process.waitFor(30, TimeUnit.SECONDS), "the process has not ended within 30 s");
         } finally {
             process.destroyForcibly();
         }
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void helpNamesEachCommandAndSucceeds() throws Exception {
+    void helpListsEachCommandAndSucceeds() throws Exception {
         Result result = run(Map.of(), "--help");
         assertEquals(0, result.exitCode);
         for (String command : List.of("serve ", "simulate ", "record-startup ")) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void wrongCommandLineIsOneLineWithTheUsage() throws Exception {
+    void wrongCommandLinePrintsTheUsageInOneLine() throws Exception {
         String usage = "usage: quota-gateway serve | simulate | record-startup | --help | --version\n";
         assertEquals(new Result(2, "", usage), run(Map.of()));
         assertEquals(new Result(2, "", usage), run(Map.of(), "drill"));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void invalidConfigurationIsOneLineWithThePath() throws Exception {
+    void invalidConfigurationIsReportedInOneLineWithTheSetting() throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), "{\"name\":\"n\"}");
         assertEquals(
                 new Result(2, "", "configuration: listen: neither EDGE_LISTEN nor 'listen' is set\n"),
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void simulateEndsWithItsInput() throws Exception {
+    void simulateExitsAtTheEndOfItsInput() throws Exception {
         assertEquals(new Result(0, "", ""), run(Map.of(), "simulate"));
     }
 }
--- a/src/test/java/quotagateway/log/EventLogTest.java
+++ b/src/test/java/quotagateway/log/EventLogTest.java
@@ -13,7 +13,7 @@
 import quotagateway.policy.api.CallOutcome;
 import quotagateway.policy.api.FailureReason;
 
-/** What the event log keeps, and what it writes when. */
+/** Checks which events the log keeps, and when it writes them. */
 class EventLogTest {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private final EventLog log = new EventLog(new PrintStream(written, true, StandardCharsets.UTF_8));
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void eventsBeforeAShutdownAreKeptAndNotWritten() {
+    void eventsBeforeAShutdownAreBufferedAndNotWritten() {
         log.record(1000.7, new NodeEvent.RequestAbandoned("01"));
         assertEquals(List.of(), lines());
     }
 
     @Test
-    void eventsInAShutdownAreWrittenAsTheyHappen() {
+    void eventsDuringAShutdownAreWrittenImmediately() {
         log.writeImmediately();
         log.record(1000.7, new NodeEvent.StateEntered(NodeState.DRAINING, 2907.6));
         log.record(1001, new NodeEvent.RequestAccepted("01", "read", 7, 350.4, 2, 1500));
@@ -56,10 +56,10 @@
     }
 
     @Test
-    void explanationHasTheEventsOfItsRequestAlone() {
+    void onlyTheEventsOfTheGivenRequestAreWritten() {
         log.record(1, new NodeEvent.RequestAbandoned("01"));
         log.record(2, new NodeEvent.RequestAbandoned("02"));
-        log.explain("02");
+        log.writeEventsOf("02");
         assertEquals(List.of("t=2 request_abandoned request=02"), lines());
     }
 
@@ -68,7 +68,7 @@
         for (int i = 0; i < 10_000; i++) {
             log.record(i, new NodeEvent.RequestAbandoned("01"));
         }
-        log.explain("01");
+        log.writeEventsOf("01");
         List<String> lines = lines();
         assertEquals(256, lines.size());
         assertEquals("t=9999 request_abandoned request=01", lines.get(255));
--- a/src/test/java/quotagateway/node/DescriptorBudgetTest.java
+++ b/src/test/java/quotagateway/node/DescriptorBudgetTest.java
@@ -11,7 +11,7 @@
         DescriptorBudget budget = DescriptorBudget.withAdminEndpoint(1024);
         assertEquals(256, budget.endpointConnections());
         assertEquals(563, budget.clientConnections());
-        assertEquals(348, budget.clientConnectionsBesidePredecessor());
+        assertEquals(348, budget.clientConnectionsDuringHandover());
     }
 
     @Test
@@ -25,6 +25,6 @@
     @Test
     void clientsAlwaysHaveAThird() {
         assertEquals(13, DescriptorBudget.withAdminEndpoint(40).clientConnections());
-        assertEquals(33, DescriptorBudget.withAdminEndpoint(100).clientConnectionsBesidePredecessor());
+        assertEquals(33, DescriptorBudget.withAdminEndpoint(100).clientConnectionsDuringHandover());
     }
 }
--- a/src/test/java/quotagateway/startup/StartupTest.java
+++ b/src/test/java/quotagateway/startup/StartupTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A start in a JVM of its own: while it lasts the gateway is down. */
+/** Starts a gateway in a JVM of its own. The gateway is unavailable during its start, so the start has to be short. */
 @Timeout(60)
 class StartupTest {
-    /** Classes that cost much at a start and are of no use in it: recording, locales, formats. */
+    /** Classes that are expensive to load and of no use in a start: flight recording, locales, formats. */
     private static final List<String> EXPENSIVE_CLASSES =
             List.of("jdk.jfr.EventType", "sun.util.cldr.", "java.util.Formatter");
 
@@ -38,7 +38,7 @@
                 String line = startupLine(process);
                 assertTrue(
                         line != null && line.contains(" configuration ") && line.contains(" bind "),
-                        "the phases are logged: " + line);
+                        "no line with the phases of the start: " + line);
             } finally {
                 process.destroy();
                 assertTrue(process.waitFor(10, TimeUnit.SECONDS));
@@ -61,7 +61,7 @@
                   "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""".formatted(peerAddress));
     }
 
-    /** Starts the command of the deploy file, but for the jar: that is not built yet when tests run. */
+    /** Starts the command of the deploy file, except for the jar, which is not built yet when tests run. */
     private static Process start(Path loadedClasses, Path config) throws IOException {
         List<String> command = new ArrayList<>(
                 List.of(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java"));
@@ -87,10 +87,10 @@
                 return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
             }
         }
-        throw new IllegalStateException("no run in the deploy file");
+        throw new IllegalStateException("the deploy file has no run command");
     }
 
-    /** The line with the phases of the start; null where the process ends without it. */
+    /** Returns the line with the phases of the start, or null if the process ends without it. */
     private static String startupLine(Process process) throws IOException {
         try (BufferedReader log =
                 new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
