--- a/src/main/java/quotagateway/admin/AdminOperations.java
+++ b/src/main/java/quotagateway/admin/AdminOperations.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** What the admin endpoint asks of its node. Called on the event loop. */
+/** The node's operations that the admin endpoint calls. Called on the event loop. */
 public interface AdminOperations {
-    /** Whether the node takes clients: its listener is up and is to stay. */
+    /** Returns whether the node accepts clients: its listener is bound and is not about to close. */
     boolean acceptsClients();
 
-    /** The metrics in Prometheus' text format. */
+    /** Returns the metrics in the text format of Prometheus. */
     String metricsText();
 
-    /** Cordons an endpoint or takes its cordon off; the result comes once that is kept or has failed. */
+    /** Cordons or uncordons an endpoint; the result is passed once the change has been persisted or has failed. */
     void cordon(String endpoint, boolean cordoned, Consumer<CordonResult> onResult);
 }
--- a/src/main/java/quotagateway/admin/AdminRequestHandler.java
+++ b/src/main/java/quotagateway/admin/AdminRequestHandler.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import java.io.IOException;
 
-/** One connection to the admin endpoint: routes its first request and ends behind the response. */
+/** One connection to the admin endpoint: handles its first request, and closes after the response. */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String TEXT_CONTENT_TYPE = "text/plain; charset=utf-8";
     private static final String MALFORMED = "malformed\n";
@@ -92,7 +92,7 @@
         switch (result) {
             case DONE -> respond(HttpResponseStatus.OK, "done\n");
             case UNKNOWN -> respond(HttpResponseStatus.NOT_FOUND, "no list has named it\n");
-            case NOT_KEPT -> respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "not kept\n");
+            case NOT_PERSISTED -> respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "not kept\n");
         }
     }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Whether the method is the one that the path has; responds where it isn't. */
+    /** Returns whether the method is the required one; responds with an error if it is not. */
     private boolean requireMethod(HttpMethod method, HttpMethod required) {
         if (method.equals(required)) {
             return true;
@@ -141,7 +141,7 @@
         return response;
     }
 
-    /** Ends our side behind the response and reads on: a reset for unread bytes could overtake the response. */
+    /** Shuts down the output after the response and keeps reading: a reset for unread bytes could discard it. */
     private void write(FullHttpResponse response) {
         channel.writeAndFlush(response).addListener(future -> {
             channel.shutdownOutput();
@@ -156,7 +156,7 @@
         server.onClosed(channel);
     }
 
-    /** A caller that has ended its side still waits for its response; without a request there is none to come. */
+    /** A caller that has shut down its output still gets its response; without a request the connection is closed. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent && (!hasRequest || channel.isOutputShutdown())) {
--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -20,9 +20,9 @@
 import quotagateway.transport.Transport;
 
 /**
- * The admin endpoint: HTTP/1.1, one request a connection. It shares the node's event loop and file descriptors, so
- * everything about it is bounded: the size of a request, the number of connections and their lifetime. At the limit a
- * caller that has not finished its request gives way to the next one.
+ * The admin endpoint: HTTP/1.1, one request per connection. It shares the node's event loop and file descriptors, so
+ * the size of a request, the number of connections and their lifetime are limited. At the limit a new connection evicts
+ * the oldest one that has not sent a complete request.
  */
 public final class AdminServer {
     public static final String HEALTH_PATH = "/admin/health";
@@ -30,31 +30,31 @@
     public static final String CORDON_PATH = "/admin/cordon/";
     public static final String UNCORDON_PATH = "/admin/uncordon/";
 
-    /** Connections at a time: scrapes and calls by hand are few, and the descriptors are needed for clients. */
+    /** Limit of open connections: scrapes and manual calls are few, and the descriptors are needed for clients. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
-    /** Requests are short, and so is every head that a sane caller sends. */
+    /** Longest request line; requests are short, and so are the heads that callers normally send. */
     private static final int MAX_LINE_BYTES = 1024;
 
     private static final int MAX_HEAD_BYTES = 4096;
     private static final int MAX_BODY_BYTES = 1024;
-    /** From accept to the end of a connection; a response is due within 1 s. */
+    /** Time (ms) from accept to close of a connection; a response is due within 1 s. */
     private static final double MAX_LIFETIME_MS = 2000;
 
     private final EventLoopContext loop;
     private final AdminOperations operations;
-    /** All connections, and those that have sent no complete request yet; the oldest first. */
-    private final Set<SocketChannel> open = new LinkedHashSet<>();
-
-    private final Set<SocketChannel> withoutRequest = new LinkedHashSet<>();
+    /** All open connections, the oldest first. */
+    private final Set<SocketChannel> openConnections = new LinkedHashSet<>();
+    /** Connections that have sent no complete request yet, the oldest first. */
+    private final Set<SocketChannel> awaitingRequest = new LinkedHashSet<>();
 
     public AdminServer(EventLoopContext loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
-    /** Binds and returns the bound address; throws {@link IOException} where the address cannot be had. */
+    /** Binds and returns the bound address; throws {@link IOException} if the address cannot be bound. */
     public SocketAddress bind(EventLoopGroup group, InetSocketAddress address) throws IOException {
         try {
             return bootstrap(group).bind(address).sync().channel().localAddress();
@@ -96,17 +96,17 @@
                         new HttpResponseEncoder(),
                         new HttpObjectAggregator(MAX_BODY_BYTES, true),
                         new AdminRequestHandler(this, channel));
-        open.add(channel);
-        withoutRequest.add(channel);
-        if (open.size() > MAX_CONNECTIONS) {
+        openConnections.add(channel);
+        awaitingRequest.add(channel);
+        if (openConnections.size() > MAX_CONNECTIONS) {
             evictOne();
         }
         loop.schedule(MAX_LIFETIME_MS, channel::close);
     }
 
-    /** Closes the oldest connection without a complete request; only where the newest is the only one, the oldest. */
+    /** Closes the oldest connection without a complete request, or the oldest of all if only the newest has none. */
     private void evictOne() {
-        Set<SocketChannel> candidates = withoutRequest.size() > 1 ? withoutRequest : open;
+        Set<SocketChannel> candidates = awaitingRequest.size() > 1 ? awaitingRequest : openConnections;
         candidates.iterator().next().close();
     }
 
@@ -119,11 +119,11 @@
     }
 
     void onRequestComplete(SocketChannel channel) {
-        withoutRequest.remove(channel);
+        awaitingRequest.remove(channel);
     }
 
     void onClosed(SocketChannel channel) {
-        open.remove(channel);
-        withoutRequest.remove(channel);
+        openConnections.remove(channel);
+        awaitingRequest.remove(channel);
     }
 }
--- a/src/main/java/quotagateway/admin/CordonResult.java
+++ b/src/main/java/quotagateway/admin/CordonResult.java
@@ -1,11 +1,11 @@
 package quotagateway.admin;
 
-/** How a call that cordons an endpoint, or takes the cordon off, ended. */
+/** Result of a call that cordons or uncordons an endpoint. */
 public enum CordonResult {
-    /** In force, and kept for the next process. */
+    /** The change is in effect, and persisted for the next process. */
     DONE,
     /** No endpoint list has named the endpoint. */
     UNKNOWN,
-    /** In force here, but not kept for the next process; or the gateway has not come up yet. */
-    NOT_KEPT
+    /** The change is in effect but not persisted for the next process, or the gateway has not started up yet. */
+    NOT_PERSISTED
 }
--- a/src/main/java/quotagateway/admin/Metrics.java
+++ b/src/main/java/quotagateway/admin/Metrics.java
@@ -13,19 +13,20 @@
 import quotagateway.policy.api.RequestClass;
 
 /**
- * Counts what the gateway has done since its start, for Prometheus to scrape. Counted and read on the event loop alone.
- * Gauges are no state of this class: their owners are asked when the text is rendered. Names and labels of the metrics
- * are those of the enum constants, and are part of the interface to operators.
+ * Counts events since the start of the gateway, for Prometheus to scrape. Used only on the event loop. Gauges are not
+ * stored here: their values are passed in when the text is rendered. Label values come from the enum constants; names
+ * and labels of the metrics are part of the interface to operators.
  */
 public final class Metrics {
     static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private static final RequestOutcome[] OUTCOMES = RequestOutcome.values();
 
-    /** Names of the request classes, and for each of them, by the same index, its requests by outcome. */
+    /** Names of the request classes. */
     private final List<String> classNames = new ArrayList<>();
+    /** Number of requests by outcome, with the index of the class in {@link #classNames}. */
+    private final List<Map<RequestOutcome, Long>> requestsByClass = new ArrayList<>();
 
-    private final List<Map<RequestOutcome, Long>> requests = new ArrayList<>();
     private long forwardedAttempts;
     private final Map<FailureReason, Long> rejections = new EnumMap<>(FailureReason.class);
     private final Map<FailureReason, Long> failures = new EnumMap<>(FailureReason.class);
@@ -35,7 +36,7 @@
     private final Map<CloseReason, Long> clientCloses = new EnumMap<>(CloseReason.class);
     private final Map<CloseReason, Long> endpointCloses = new EnumMap<>(CloseReason.class);
 
-    /** Counts requests of these classes; each has all of its samples from the start on. */
+    /** Counts requests of these classes; each class has samples for all outcomes from the start. */
     public Metrics(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
             classNames.add(requestClass.name());
@@ -43,53 +44,54 @@
             for (RequestOutcome outcome : OUTCOMES) {
                 counts.put(outcome, 0L);
             }
-            requests.add(counts);
+            requestsByClass.add(counts);
         }
     }
 
     /**
-     * A request has its final response. A class that the settings lack is not counted: clients could make up labels.
+     * Counts a request that has its final response. A class that is not in the settings is not counted, as otherwise
+     * clients could create arbitrary labels.
      */
     public void countCompleted(String requestClass, RequestOutcome outcome) {
         int index = classNames.indexOf(requestClass);
         if (index >= 0) {
-            increment(requests.get(index), outcome);
+            increment(requestsByClass.get(index), outcome);
         }
     }
 
-    /** The last byte of an attempt is written. */
+    /** Counts an attempt whose last byte has been written. */
     public void countForwarded() {
         forwardedAttempts++;
     }
 
-    /** A request was rejected or failed; the reason is null where the policy gave none. */
+    /** Counts a request that was rejected or failed; the reason is null if the policy gave none. */
     public void countUnserved(RequestOutcome outcome, FailureReason reason) {
         if (reason != null) {
             increment(outcome == RequestOutcome.THROTTLED ? rejections : failures, reason);
         }
     }
 
-    /** A further attempt goes out, behind one that ended so. */
+    /** Counts a further attempt, which follows one with this outcome. */
     public void countRetry(CallOutcome previousOutcome) {
         increment(retries, previousOutcome);
     }
 
-    /** An attempt that the policy had decided on was not written. */
+    /** Counts an attempt that the policy had decided on and that was not written. */
     public void countDenied(SendDenial denial) {
         increment(denials, denial);
     }
 
-    /** An invariant of this program was violated. */
+    /** Counts a violation of an invariant of this program. */
     public void countViolation(Invariant invariant) {
         increment(violations, invariant);
     }
 
-    /** A client's connection has ended. */
+    /** Counts a client connection that has ended. */
     public void countClientClosed(CloseReason reason) {
         increment(clientCloses, reason);
     }
 
-    /** A connection to an endpoint has ended. */
+    /** Counts a connection to an endpoint that has ended. */
     public void countEndpointClosed(CloseReason reason) {
         increment(endpointCloses, reason);
     }
@@ -101,17 +103,17 @@
     /**
      * Renders all metrics.
      *
-     * @param openRequests accepted requests without their final response
-     * @param listedEndpoints endpoints in the list
-     * @param unavailableEndpoints listed endpoints that get nothing new at present
+     * @param openRequests number of accepted requests without their final response
+     * @param listedEndpoints number of endpoints in the endpoint list
+     * @param unavailableEndpoints number of listed endpoints that currently get no new attempts
      */
     public String render(int openRequests, int listedEndpoints, int unavailableEndpoints) {
         PrometheusText text = new PrometheusText();
         renderRequests(text);
-        text.single("relayed_total", "counter", "Attempts written whole to place servers.", forwardedAttempts);
-        text.single("open_requests", "gauge", "Requests taken and not ended yet.", openRequests);
-        text.single("registry_entries", "gauge", "Place servers in the list.", listedEndpoints);
-        text.single(
+        text.singleSample("relayed_total", "counter", "Attempts written whole to place servers.", forwardedAttempts);
+        text.singleSample("open_requests", "gauge", "Requests taken and not ended yet.", openRequests);
+        text.singleSample("registry_entries", "gauge", "Place servers in the list.", listedEndpoints);
+        text.singleSample(
                 "out_of_rotation",
                 "gauge",
                 "Listed place servers that get nothing new at present.",
@@ -132,7 +134,7 @@
             String classLabel = PrometheusText.label("priority", classNames.get(i));
             for (RequestOutcome outcome : OUTCOMES) {
                 String labels = classLabel + "," + PrometheusText.label("status", outcome.label);
-                text.sample("operations_total", labels, requests.get(i).get(outcome));
+                text.sample("operations_total", labels, requestsByClass.get(i).get(outcome));
             }
         }
     }
--- a/src/main/java/quotagateway/admin/PrometheusText.java
+++ b/src/main/java/quotagateway/admin/PrometheusText.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Writes metrics in the text format of Prometheus (version 0.0.4), all names with this program's prefix. */
+/** Writes metrics in the text format of Prometheus (version 0.0.4); all names get this program's prefix. */
 final class PrometheusText {
     private static final String PREFIX = "edge_edge_";
 
     private final StringBuilder text = new StringBuilder();
 
-    /** Begins a metric, whose samples follow. */
+    /** Writes the header of a metric; its samples follow. */
     void header(String name, String type, String help) {
         text.append("# HELP ")
                 .append(PREFIX)
@@ -25,7 +25,7 @@
                 .append('\n');
     }
 
-    /** One sample of the metric that was begun; labels as {@link #label} writes them, joined by commas. */
+    /** Writes one sample of the current metric; the labels are results of {@link #label}, joined by commas. */
     void sample(String name, String labels, long value) {
         text.append(PREFIX)
                 .append(name)
@@ -37,16 +37,16 @@
     }
 
     static String label(String name, String value) {
-        return name + "=\"" + escaped(value) + "\"";
+        return name + "=\"" + escapeLabel(value) + "\"";
     }
 
-    /** A metric with one sample and no labels. */
-    void single(String name, String type, String help, long value) {
+    /** Writes a metric with one sample and no labels. */
+    void singleSample(String name, String type, String help, long value) {
         header(name, type, help);
         text.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 
-    /** A counter with a sample for each constant that has been counted; left out where none has. */
+    /** Writes a counter with a sample for each constant that has been counted, or nothing if there is none. */
     <E extends Enum<E>> void countsBy(String label, String name, String help, Map<E, Long> counts) {
         if (counts.isEmpty()) {
             return;
@@ -56,7 +56,7 @@
                 sample(name, label(label, constant.name().toLowerCase(Locale.ROOT)), count));
     }
 
-    private static String escaped(String label) {
+    private static String escapeLabel(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 
--- a/src/main/java/quotagateway/client/AcceptQueueHandler.java
+++ b/src/main/java/quotagateway/client/AcceptQueueHandler.java
@@ -6,30 +6,34 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * On a listening channel: closes it at a moment at which its queue is empty. A close resets what still waits in the
- * queue, and these clients would have to connect again.
+ * Counts the connections that a listening channel accepts, and closes the channel only while its accept queue is empty.
+ * A close resets the connections that are still queued, and their clients would have to reconnect.
  */
 final class AcceptQueueHandler extends ChannelInboundHandlerAdapter {
-    /** With no connection for so long (ms) the queue is taken to be empty. */
-    private static final double QUIET_MS = 30;
-    /** Lets the loop look at the queue once more: a late loop may not have done so in all that time. */
-    private static final double NEXT_ROUND_MS = 1;
-    /** The queue was empty after the last round, and connections are accepted as they come. */
-    private static final double NOT_WAITING = Double.MAX_VALUE;
+    /** Time without a new connection (ms) after which the queue is assumed to be empty. */
+    private static final double QUIET_PERIOD_MS = 30;
+    /** Delay (ms) that lets the event loop read the queue once more, as a late loop may not have done so meanwhile. */
+    private static final double NEXT_ITERATION_MS = 1;
+    /** The queue was empty after the last read, and connections are accepted as they arrive. */
+    private static final double QUEUE_EMPTY = Double.MAX_VALUE;
 
     private final EventLoopContext loop;
-    private final int maxPerRound;
+    private final int maxAcceptsPerRead;
     private Channel channel;
-    private int acceptedInRound;
-    private long acceptedInAll;
+    private int acceptedInRead;
+    private long acceptedTotal;
     private boolean closing;
-    /** Since when (ms of the loop's clock) connections may be waiting in the queue. */
-    private double mayWaitSinceMs = NOT_WAITING;
+    /** Earliest time (ms of the loop's clock) at which a connection that is still queued may have arrived. */
+    private double earliestArrivalMs = QUEUE_EMPTY;
 
-    /** The second is how many connections the channel accepts in one round of the loop. */
-    AcceptQueueHandler(EventLoopContext loop, int maxPerRound) {
+    /**
+     * Creates the handler of one listening channel.
+     *
+     * @param maxAcceptsPerRead the most connections that the channel accepts in one read
+     */
+    AcceptQueueHandler(EventLoopContext loop, int maxAcceptsPerRead) {
         this.loop = loop;
-        this.maxPerRound = maxPerRound;
+        this.maxAcceptsPerRead = maxAcceptsPerRead;
     }
 
     @Override
@@ -37,51 +41,54 @@
         channel = ctx.channel();
     }
 
-    /** Closes the channel at the next moment at which its queue is empty. */
+    /** Closes the channel as soon as its queue is empty. */
     void closeWhenEmpty() {
         closing = true;
         channel.config().setAutoRead(true);
-        loop.schedule(QUIET_MS, this::closeWhenQuiet);
+        loop.schedule(QUIET_PERIOD_MS, this::closeAfterQuietPeriod);
     }
 
-    /** Accepts connections as they come, or leaves them in the queue; one that is to be closed is emptied. */
+    /**
+     * Accepts connections as they arrive, or leaves them in the queue. A channel that is about to close keeps accepting
+     * until its queue is empty.
+     */
     void setAccepting(boolean accepting) {
-        boolean acceptsNow = closing || accepting;
-        if (!acceptsNow && mayWaitSinceMs == NOT_WAITING) {
-            mayWaitSinceMs = loop.now();
+        boolean autoRead = closing || accepting;
+        if (!autoRead && earliestArrivalMs == QUEUE_EMPTY) {
+            earliestArrivalMs = loop.now();
         }
-        channel.config().setAutoRead(acceptsNow);
+        channel.config().setAutoRead(autoRead);
     }
 
-    /** How long (ms) a connection that is accepted now may have waited in the queue. */
-    double longestWaitMs() {
-        return Math.max(0, loop.now() - mayWaitSinceMs);
+    /** Returns the longest time (ms) that a connection accepted now may have waited in the queue. */
+    double maxQueueWaitMs() {
+        return Math.max(0, loop.now() - earliestArrivalMs);
     }
 
-    private void closeWhenQuiet() {
-        long acceptedBefore = acceptedInAll;
-        loop.schedule(NEXT_ROUND_MS, () -> {
-            if (acceptedInAll == acceptedBefore) {
+    private void closeAfterQuietPeriod() {
+        long acceptedBefore = acceptedTotal;
+        loop.schedule(NEXT_ITERATION_MS, () -> {
+            if (acceptedTotal == acceptedBefore) {
                 channel.close();
             } else {
-                closeWhenQuiet();
+                closeAfterQuietPeriod();
             }
         });
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        acceptedInRound++;
-        acceptedInAll++;
+        acceptedInRead++;
+        acceptedTotal++;
         ctx.fireChannelRead(msg);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        boolean queueEmpty = acceptedInRound < maxPerRound; // else it may be the round's bound that has ended it
-        acceptedInRound = 0;
+        boolean queueEmpty = acceptedInRead < maxAcceptsPerRead; // otherwise the read may have ended at its limit
+        acceptedInRead = 0;
         if (queueEmpty && channel.config().isAutoRead()) {
-            mayWaitSinceMs = NOT_WAITING;
+            earliestArrivalMs = QUEUE_EMPTY;
         }
         if (closing && queueEmpty) {
             ctx.close();
--- a/src/main/java/quotagateway/client/ClientCommand.java
+++ b/src/main/java/quotagateway/client/ClientCommand.java
@@ -13,19 +13,19 @@
 import quotagateway.resp.RespCodec;
 
 /**
- * A request command of a client, parsed: {@code CALL.GET|CALL.POST customer id attributes [body]}.
+ * A parsed request command of a client: {@code CALL.GET|CALL.POST customer id attributes [body]}.
  *
  * @param customer whose quota the request is charged to
- * @param id the client's name for the request; an endpoint recognizes a repeated request by it
- * @param requestClass name of the request's class, which the settings need not know
+ * @param id the client's identifier of the request, by which an endpoint recognizes a repeated request
+ * @param requestClass name of the request class, which may be absent from the settings
  * @param plan name of the customer's quota plan
- * @param clientTimeoutMs how long the client waits for the response
- * @param units what the request takes off the quota
+ * @param clientTimeoutMs how long the client waits for the response, in ms
+ * @param units units of quota that the request costs
  * @param gatewayCount how many gateways share the customer's quota
  * @param firstGateway rank of the first of these gateways
  * @param retry whether the client has sent the request before
- * @param textBeforeTimeout the attribute list up to the value of the timeout, as it goes on to an endpoint
- * @param textAfterTimeout the attribute list behind the value of the timeout
+ * @param textBeforeTimeout the attribute list up to the value of the timeout, as it is forwarded to an endpoint
+ * @param textAfterTimeout the attribute list after the value of the timeout
  */
 public record ClientCommand(
         String customer,
@@ -40,7 +40,7 @@
         String textBeforeTimeout,
         String textAfterTimeout) {
 
-    /** Which argument may be a large value, counted from the verb, which is 0. */
+    /** Index of the argument that may be a large value; the verb has index 0. */
     static final int BODY_INDEX = 4;
 
     private static final int CUSTOMER_INDEX = 1;
@@ -51,28 +51,28 @@
     private static final String WRITE_VERB = "CALL.POST";
 
     /** A customer is 16 hex digits, below 2^33. */
-    private static final Pattern CUSTOMER_FORM = Pattern.compile("0{7}[01][0-9a-f]{8}");
+    private static final Pattern CUSTOMER_PATTERN = Pattern.compile("0{7}[01][0-9a-f]{8}");
 
     private static final int MAX_ID_LENGTH = 64;
-    /** The least timeout that an endpoint is given, as the attribute is in whole milliseconds. */
+    /** Smallest timeout that is sent to an endpoint, as the attribute is an integer number of milliseconds. */
     private static final long MIN_TIMEOUT_MS = 1;
 
-    /** Whether a verb is that of a request command. */
+    /** Returns whether the verb is that of a request command. */
     static boolean isRequestVerb(String verb) {
         return READ_VERB.equals(verb) || WRITE_VERB.equals(verb);
     }
 
     /**
-     * Parses a command, and checks units, gateways and the class against the settings.
+     * Parses a command, and checks its units, its gateways and its request class against the settings.
      *
-     * @throws MalformedCommandException where it is no request that may be taken
+     * @throws MalformedCommandException if the command is not a valid request command
      */
     public static ClientCommand parse(ArrayRedisMessage command, PolicySettings settings) {
         List<RedisMessage> arguments = command.children();
         checkArguments(arguments);
         String customer = RespCodec.text(arguments.get(CUSTOMER_INDEX));
         String id = RespCodec.text(arguments.get(ID_INDEX));
-        if (!CUSTOMER_FORM.matcher(customer).matches() || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
+        if (!CUSTOMER_PATTERN.matcher(customer).matches() || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
             throw new MalformedCommandException("customer or id is malformed");
         }
         CommandAttributes attributes = CommandAttributes.parse(RespCodec.text(arguments.get(ATTRIBUTES_INDEX)));
@@ -97,7 +97,7 @@
             throw new MalformedCommandException("wrong number of arguments");
         }
         for (RedisMessage argument : arguments) {
-            if (!RespCodec.isValue(argument)) {
+            if (!RespCodec.isNonNullBulkString(argument)) {
                 throw new MalformedCommandException("bulk strings expected");
             }
         }
@@ -113,7 +113,7 @@
         }
     }
 
-    /** The verb has to fit the class, where the settings know that; a class with keys needs one. */
+    /** Checks that the verb fits the request class, if the settings have it, and that a required key is present. */
     private static void checkRequestClass(String verb, CommandAttributes attributes, PolicySettings settings) {
         boolean readVerb = READ_VERB.equals(verb);
         for (RequestClass candidate : settings.requestClasses()) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /** The command for an endpoint: as it came, except that the timeout is what is left of the client's time (ms). */
+    /** Returns the command for an endpoint: the client's command with the remaining time (ms) as its timeout. */
     public ArrayRedisMessage encodeForEndpoint(
             ArrayRedisMessage command, double remainingMs, ByteBufAllocator allocator) {
         List<RedisMessage> arguments = command.children();
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -19,51 +19,52 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * One connection of a client: takes its commands, and writes the responses in the order of the commands. It ends when
- * the client closes it, when a command is malformed or a stream breaks off, when it is evicted, or with the node.
+ * One connection of a client: accepts commands, and writes the responses in the order of the commands. The connection
+ * ends when the client closes it, when a command is malformed, when a streamed response breaks off, when the connection
+ * is evicted, or when the node shuts down.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** With so many commands unanswered nothing more is read; reading goes on as responses are written. */
+    /** Unanswered commands at which reading is paused; it resumes as responses are written. */
     private static final int MAX_PIPELINED_COMMANDS = 256;
-    /** More arguments than any command has, so that a wrong command is answered as such. */
+    /** More arguments than any command has, so that a command with too many of them still gets its own error. */
     private static final int MAX_ARGUMENTS = 16;
 
     private final DuplexChannel channel;
     private final long id;
-    private final ListenerContext listener;
+    private final ListenerContext listenerContext;
     private final EventLoopContext loop;
-    private final ClientRequestHandler requests;
+    private final ClientRequestHandler requestHandler;
     private final ReadAhead readAhead;
     private final CommandTimer timer;
     private final LargeBodyReceiver largeBody;
     private final ResponseQueue responses;
-    private final ClosingSequence closing;
-    private RespFrameTracker frames;
+    private final ClosingSequence closingSequence;
+    private RespFrameTracker frameTracker;
 
     /**
-     * A connection that was accepted.
+     * Creates the handler of an accepted connection.
      *
-     * @param id its number in the event log
-     * @param longestQueueWaitMs how long it may have waited in the accept queue, 0 for not at all
+     * @param id number of the connection in the event log
+     * @param maxQueueWaitMs the longest time (ms) that the connection may have waited in the accept queue, 0 for none
      */
-    ClientConnection(DuplexChannel channel, long id, ListenerContext listener, double longestQueueWaitMs) {
+    ClientConnection(DuplexChannel channel, long id, ListenerContext listenerContext, double maxQueueWaitMs) {
         this.channel = channel;
         this.id = id;
-        this.listener = listener;
-        loop = listener.loop();
-        requests = listener.requests();
-        readAhead = new ReadAhead(loop, listener.readAheadBudget(), longestQueueWaitMs);
+        this.listenerContext = listenerContext;
+        loop = listenerContext.loop();
+        requestHandler = listenerContext.requestHandler();
+        readAhead = new ReadAhead(loop, listenerContext.readAheadBudget(), maxQueueWaitMs);
         timer = new CommandTimer(loop);
-        largeBody = new LargeBodyReceiver(this, loop, requests, timer);
+        largeBody = new LargeBodyReceiver(this, loop, requestHandler, timer);
         responses = new ResponseQueue(this, channel, loop);
-        closing = new ClosingSequence(channel);
+        closingSequence = new ClosingSequence(channel);
     }
 
     /** Adds the connection's handlers to its channel; called once, before anything is read. */
     void addHandlers() {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addLast(readAhead);
-        frames = RespCodec.addHandlers(pipeline, MAX_ARGUMENTS, largeBody);
+        frameTracker = RespCodec.addHandlers(pipeline, MAX_ARGUMENTS, largeBody);
         pipeline.addLast(this);
     }
 
@@ -83,13 +84,13 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        if (!closing.isReading()) { // not taken: the client sends it once more elsewhere
+        if (!closingSequence.isReading()) { // dropped: the client resends the command to another gateway
             ReferenceCountUtil.release(msg);
             return;
         }
-        frames.onMessageComplete((RedisMessage) msg);
+        frameTracker.onMessageComplete((RedisMessage) msg);
         timer.stop();
-        listener.connections().onCommand(this);
+        listenerContext.connections().onCommand(this);
         ResponseSlot slot = responses.add();
         try {
             if (msg instanceof ArrayRedisMessage command
@@ -109,7 +110,7 @@
         String verb = RespCodec.text(command.children().get(0));
         if (ClientCommand.isRequestVerb(verb)) {
             if (largeBody.isReceiving()) {
-                largeBody.claim(slot, command);
+                largeBody.attachCommand(slot, command);
             } else {
                 submit(slot, command, null);
             }
@@ -120,11 +121,11 @@
         }
     }
 
-    /** Gives a request command to the handler, with its large body or null, and answers it where it is malformed. */
+    /** Passes a request command, with its large body or null, to the handler; answers a malformed one with an error. */
     void submit(ResponseSlot slot, ArrayRedisMessage command, RequestBody body) {
-        String problem = requests.acceptCommand(slot, command, body, readAhead.receivedAtMs());
-        if (problem != null) {
-            slot.respond(new ErrorRedisMessage("ERR " + problem));
+        String errorText = requestHandler.acceptCommand(slot, command, body, readAhead.receivedAtMs());
+        if (errorText != null) {
+            slot.respond(new ErrorRedisMessage("ERR " + errorText));
             if (body != null) {
                 body.discard();
             }
@@ -135,23 +136,26 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (largeBody.isReceiving()) {
             timer.restart();
-        } else if (frames.pendingBytes() != 0) {
+        } else if (frameTracker.pendingBytes() != 0) {
             timer.startUnlessWaiting();
-        } else if (!listener.connections().isAwaitingFirstCommand(this)) {
+        } else if (!listenerContext.connections().isAwaitingFirstCommand(this)) {
             timer.stop();
         }
         loop.flush();
     }
 
-    // ---- reading on, and writing responses ----
+    // ---- flow control and responses ----
 
-    /** Holds commands back while too much is unanswered, unread by the client or buffered for all, or lets them on. */
+    /**
+     * Holds commands back while too many are unanswered, the client has too much output to read, or the buffers of all
+     * requests are full; resumes otherwise.
+     */
     void updateReading() {
-        boolean read = !closing.isReading() || hasCapacity();
+        boolean read = !closingSequence.isReading() || hasCapacity();
         if (read && readAhead.isHeldBack()) {
             readAhead.resume();
             if (largeBody.isReceiving()) {
-                timer.restart(); // it was the gateway that did not read on
+                timer.restart(); // the delay was the gateway's, which had paused reading
             }
         } else if (!read && !readAhead.isHeldBack()) {
             readAhead.holdBack();
@@ -161,22 +165,23 @@
     private boolean hasCapacity() {
         return responses.size() < MAX_PIPELINED_COMMANDS
                 && channel.isWritable()
-                && (largeBody.isReceiving() ? largeBody.wantsMore() : !requests.isMemoryExhausted());
+                && (largeBody.isReceiving() ? largeBody.wantsMore() : !requestHandler.isMemoryExhausted());
     }
 
-    /** Writes what can be written by now; a connection that is to end behind its last response ends here. */
+    /** Writes the responses that are ready, and closes a connection that is to end after its last response. */
     void writeResponses() {
         responses.writeReady();
-        if (responses.isEmpty() && endsWhenAnswered()) {
-            finish(CloseReason.SHUTDOWN_ANSWERED);
+        if (responses.isEmpty() && shouldCloseAfterResponses()) {
+            closeGracefully(CloseReason.SHUTDOWN_ANSWERED);
         }
         if (readAhead.isHeldBack()) {
             updateReading();
         }
     }
 
-    private boolean endsWhenAnswered() {
-        return !closing.isReading() || (listener.connections().isClosingAfterResponses() && !isCommandBegun());
+    private boolean shouldCloseAfterResponses() {
+        return !closingSequence.isReading()
+                || (listenerContext.connections().isClosingAfterResponses() && !hasUnprocessedInput());
     }
 
     /** The last byte of a streamed response has been written. */
@@ -191,107 +196,110 @@
         responses.updateStreamReading();
     }
 
-    // ---- what the connection is doing ----
+    // ---- state ----
 
-    /** Whether commands are still taken. */
+    /** Returns whether commands are still accepted. */
     boolean isReading() {
-        return closing.isReading();
+        return closingSequence.isReading();
     }
 
-    /** Whether something has come that is no whole command yet, or has not been looked at. */
-    boolean isCommandBegun() {
-        return frames.pendingBytes() != 0 || !readAhead.isEmpty();
+    /** Returns whether there is part of a command, or input that has not been decoded yet. */
+    boolean hasUnprocessedInput() {
+        return frameTracker.pendingBytes() != 0 || !readAhead.isEmpty();
     }
 
-    /** Whether the connection is between requests: no response is owed, and nothing of a command has come. */
+    /** Returns whether the connection is between requests: no response is owed, and no input is unprocessed. */
     boolean isIdle() {
-        return responses.isEmpty() && !isCommandBegun() && closing.isReading();
+        return responses.isEmpty() && !hasUnprocessedInput() && closingSequence.isReading();
     }
 
-    /** Whether all that was written has gone to the system. */
+    /** Returns whether everything written has been handed to the operating system. */
     boolean isFlushed() {
-        return closing.unsentBytes() == 0;
+        return closingSequence.unsentBytes() == 0;
     }
 
     boolean hasOpenResponses() {
         return !responses.isEmpty();
     }
 
-    /** Whether the connection was opened before a time (ms) of the loop's clock. */
-    boolean isOpenSinceBefore(double timeMs) {
-        return timer.isOpenSinceBefore(timeMs);
+    /** Returns whether the connection was opened before a time (ms of the loop's clock). */
+    boolean wasOpenedBefore(double timeMs) {
+        return timer.wasOpenedBefore(timeMs);
     }
 
-    /** Whether it is the client that has left the gateway waiting for a whole command since before a time (ms). */
+    /** Returns whether the gateway has waited for the client to complete a command since before a time (ms). */
     boolean isCommandOverdue(double timeMs) {
-        boolean clientsTurn = responses.isEmpty() || (largeBody.isReceiving() && largeBody.wantsMore());
-        return closing.isReading() && clientsTurn && timer.isWaitingSinceBefore(timeMs);
+        boolean awaitingClient = responses.isEmpty() || (largeBody.isReceiving() && largeBody.wantsMore());
+        return closingSequence.isReading() && awaitingClient && timer.isWaitingSinceBefore(timeMs);
     }
 
-    // ---- the end ----
+    // ---- closing ----
 
-    /** Ends the connection in order, behind what is written; one that owes a response gives it first. */
-    void finish(CloseReason reason) {
-        if (closing.isOutputEnding()) {
+    /**
+     * Closes the connection after everything that was written. If the lifecycle check refuses the close because of open
+     * requests, the connection fails them and sends an error first.
+     */
+    void closeGracefully(CloseReason reason) {
+        if (closingSequence.isOutputShuttingDown()) {
             return;
         }
-        if (!requests.mayClose(reason, responses.openRequestCount())) {
+        if (!requestHandler.mayClose(reason, responses.openRequestCount())) {
             rejectInput("internal error");
             return;
         }
-        closing.beginOutputEnd(reason);
+        closingSequence.startOutputShutdown(reason);
         updateReading();
-        closing.endOutput();
+        closingSequence.shutDownOutputAfterWrites();
     }
 
-    /** Ends the connection as part of the node's shutdown, if it is between requests. */
-    void finishIfIdle() {
+    /** Closes the connection for the node's shutdown, if it is between requests. */
+    void closeIfIdle() {
         if (isIdle()) {
-            finish(CloseReason.SHUTDOWN_IDLE);
+            closeGracefully(CloseReason.SHUTDOWN_IDLE);
         }
     }
 
-    /** Ends the connection unless a request is open: a command that has begun is answered with an error. */
-    void finishUnlessRequestOpen() {
-        if (closing.isReading() && isCommandBegun() && responses.openRequestCount() == 0) {
+    /** Closes the connection unless a request is open; a partly received command is answered with an error. */
+    void closeUnlessRequestOpen() {
+        if (closingSequence.isReading() && hasUnprocessedInput() && responses.openRequestCount() == 0) {
             rejectInput("the edge node ends");
         } else {
-            finishIfIdle();
+            closeIfIdle();
         }
     }
 
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     void closeNow(CloseReason reason) {
-        closing.closeNow(reason);
+        closingSequence.closeNow(reason);
     }
 
     /**
-     * A streamed response cannot be whole. Only an end of the connection tells the client; earlier responses still go
-     * out.
+     * Closes the connection because a streamed response cannot be completed: only the close can tell the client.
+     * Earlier responses are still sent.
      */
     void abortStream() {
-        closing.ignoreInput();
+        closingSequence.ignoreInput();
         abandonRequests();
-        finish(CloseReason.VALUE_BROKEN_OFF);
+        closeGracefully(CloseReason.VALUE_BROKEN_OFF);
     }
 
     /**
-     * Answers with an error, and reads nothing any more: nobody can tell where the next command begins. Requests that
-     * are open on the connection fail at once, so that the error doesn't come late behind them.
+     * Answers with an error and stops reading, as the start of the next command is unknown. Requests that are open on
+     * the connection fail immediately, so that they don't delay the error, which is written after their responses.
      */
-    void rejectInput(String problem) {
-        ResponseSlot unsubmitted = largeBody.waitingSlot();
+    void rejectInput(String errorText) {
+        ResponseSlot unsubmitted = largeBody.pendingSlot();
         if (unsubmitted != null) {
-            responses.remove(unsubmitted); // no request yet: the error is its response
+            responses.remove(unsubmitted); // not submitted yet: the error is its response
         }
         largeBody.discard();
-        if (closing.isReading()) {
-            closing.giveReason(CloseReason.MALFORMED);
-            closing.ignoreInput();
-            readAhead.shutDown(); // megabytes that are only dropped would cost as much CPU as a request
+        if (closingSequence.isReading()) {
+            closingSequence.setReasonIfAbsent(CloseReason.MALFORMED);
+            closingSequence.ignoreInput();
+            readAhead.shutDown(); // reading megabytes only to drop them costs as much CPU as a request
             ResponseSlot error = responses.add();
             responses.failOpenRequests();
-            error.respond(new ErrorRedisMessage("ERR " + problem));
+            error.respond(new ErrorRedisMessage("ERR " + errorText));
         }
         loop.flush();
     }
@@ -303,11 +311,11 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        listener.connections().remove(this);
-        requests.onClientConnectionClosed(new NodeEvent.ClientConnectionClosed(
-                id, closing.reason(), ageMs(), responses.commandCount(), responses.size()));
+        listenerContext.connections().remove(this);
+        requestHandler.onClientConnectionClosed(new NodeEvent.ClientConnectionClosed(
+                id, closingSequence.reason(), ageMs(), responses.commandCount(), responses.size()));
         abandonRequests();
-        listener.onConnectionClosed().run();
+        listenerContext.onConnectionClosed().run();
         loop.flush();
     }
 
@@ -316,8 +324,8 @@
         if (cause instanceof CodecException) {
             rejectInput("malformed");
         } else if (cause instanceof IOException) {
-            closing.closeNow(CloseReason.ERROR);
-        } else { // a fault of this program: what is open here is still owed a response
+            closingSequence.closeNow(CloseReason.ERROR);
+        } else { // internal fault: open requests are still owed a response
             loop.logFailure("client connection", cause);
             rejectInput("internal error");
         }
--- a/src/main/java/quotagateway/client/ClientListener.java
+++ b/src/main/java/quotagateway/client/ClientListener.java
@@ -17,58 +17,62 @@
 import quotagateway.transport.Transport;
 
 /**
- * Listens for clients, and holds their connections up to a limit. At the limit one connection is evicted for each that
- * comes; while none may be, the listener stops accepting and looks again a little later.
+ * Listens for clients, and keeps the number of their connections within a limit. At the limit one connection is evicted
+ * for each new one; while none may be evicted, the listener stops accepting and retries periodically.
  *
- * <p>All methods but {@link #bind}, {@link #hasListened} and {@link #limitConnections} are called on the event loop.
+ * <p>All methods except {@link #bind}, {@link #hasListened} and {@link #limitConnections} are called on the event loop.
  */
 public final class ClientListener {
-    /** Bursts of new clients wait here while the loop is busy. */
+    /** Length of the accept queue, which holds bursts of new clients while the event loop is busy. */
     private static final int BACKLOG = 1024;
-    /** With so much written and not sent (bytes) a client is read no further, until half of it has gone out. */
+    /** Unsent output (bytes) at which reading from a client is paused until half of it has been sent. */
     private static final int MAX_UNSENT_BYTES = 32 * 1024;
 
-    private static final int MAX_ACCEPTS_PER_ROUND = 16;
-    /** How often (ms) connections that send no whole command are looked for. */
+    private static final int MAX_ACCEPTS_PER_READ = 16;
+    /** Interval (ms) between checks for connections whose command is overdue. */
     private static final double SWEEP_INTERVAL_MS = 250;
-    /** While none is accepted, how often (ms) it is looked whether a connection may be evicted by now. */
+    /** Interval (ms) between attempts to evict a connection while accepting is paused. */
     private static final double EVICTION_RETRY_MS = 50;
-    /** One connection in so many is held beyond the limit, so that new ones can be seen and others evicted. */
+    /** One connection per this many is held beyond the limit, so that new ones can be accepted and others evicted. */
     private static final int LIMIT_PER_EXTRA_CONNECTION = 16;
 
     private final EventLoopContext loop;
-    private final ClientRequestHandler requests;
+    private final ClientRequestHandler requestHandler;
     private final ConnectionTable connections;
     private final ListenerContext context;
     private final AcceptQueueHandler acceptQueue;
-    /** Null until the listener is up; set on the loop and read from other threads too. */
+    /** Null until the listener is bound; set on the event loop, and also read by other threads. */
     private volatile Channel serverChannel;
 
     private long connectionCount;
     private boolean evictionRetryScheduled;
 
-    /** The last is how many connections are held at the most, but for {@link #connectionsBeyondLimit}. */
-    public ClientListener(EventLoopContext loop, ClientRequestHandler requests, int maxConnections) {
+    /**
+     * Creates a listener that is not bound yet.
+     *
+     * @param maxConnections limit of connections, which {@link #connectionsBeyondLimit} may exceed
+     */
+    public ClientListener(EventLoopContext loop, ClientRequestHandler requestHandler, int maxConnections) {
         this.loop = loop;
-        this.requests = requests;
+        this.requestHandler = requestHandler;
         connections = new ConnectionTable(loop, maxConnections);
-        acceptQueue = new AcceptQueueHandler(loop, MAX_ACCEPTS_PER_ROUND);
-        context = new ListenerContext(loop, requests, connections, new ReadAheadBudget(loop), this::admitConnections);
+        acceptQueue = new AcceptQueueHandler(loop, MAX_ACCEPTS_PER_READ);
+        context = new ListenerContext(loop, requestHandler, connections, new ReadAheadBudget(loop), this::enforceLimit);
     }
 
-    /** How many connections are held beyond a limit while it is looked for one to evict. */
+    /** Returns how many connections may be held beyond a limit until others have been evicted. */
     public static int connectionsBeyondLimit(int limit) {
         return Math.max(1, limit / LIMIT_PER_EXTRA_CONNECTION);
     }
 
-    /** Begins to look for connections that send no whole command; called once. */
+    /** Starts the periodic check for connections whose command is overdue; called once. */
     public void start() {
         loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /**
-     * Binds, and waits until that is done. Returns the address, or null where the node has been told to shut down;
-     * throws the socket's error where the address cannot be had.
+     * Binds and waits for completion. Returns the bound address, or null if the node is shutting down; throws the
+     * socket's error if the address cannot be bound.
      */
     public SocketAddress bind(EventLoopGroup group, SocketAddress address) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
@@ -89,45 +93,45 @@
         return serverChannel == null ? null : bound.sync().channel().localAddress();
     }
 
-    /** Accepts until none waits. By default a round with epoll ends behind the first connection. */
+    /** Returns an allocator that accepts until the queue is empty; by default epoll accepts one connection per read. */
     private static RecvByteBufAllocator acceptUntilQueueIsEmpty() {
         ServerChannelRecvByteBufAllocator allocator = new ServerChannelRecvByteBufAllocator();
-        allocator.maxMessagesPerRead(MAX_ACCEPTS_PER_ROUND);
+        allocator.maxMessagesPerRead(MAX_ACCEPTS_PER_READ);
         return allocator.respectMaybeMoreData(false);
     }
 
-    /** Sets the listening channel up, unless the node has been told to shut down meanwhile. */
+    /** Sets up the listening channel, or closes it if the node has begun to shut down meanwhile. */
     private final class ServerInitializer extends ChannelInitializer<ServerSocketChannel> {
         @Override
         protected void initChannel(ServerSocketChannel channel) {
-            if (!requests.mayListen()) {
+            if (!requestHandler.mayListen()) {
                 channel.close();
                 return;
             }
-            serverChannel = channel; // not after bind: a client may come before that has returned
+            serverChannel = channel; // not after bind, as a client may connect before bind returns
             channel.pipeline()
                     .addLast(acceptQueue, new AcceptFailureHandler(loop, ClientListener.this::updateAccepting));
         }
     }
 
-    /** Sets an accepted connection up. */
+    /** Sets up an accepted connection. */
     private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
             ClientConnection connection =
-                    new ClientConnection(channel, ++connectionCount, context, acceptQueue.longestWaitMs());
+                    new ClientConnection(channel, ++connectionCount, context, acceptQueue.maxQueueWaitMs());
             connection.addHandlers();
             connections.add(connection);
-            admitConnections();
+            enforceLimit();
         }
     }
 
-    /** Whether the listener is or has been up. */
+    /** Returns whether the listener is bound or has been. */
     public boolean hasListened() {
         return serverChannel != null;
     }
 
-    /** Sets how many connections are held at the most from now on. */
+    /** Sets the limit of connections. */
     public void limitConnections(int maxConnections) {
         connections.setLimit(maxConnections);
     }
@@ -140,8 +144,8 @@
         }
     }
 
-    /** The number of connections has changed, or one may be evicted by now. */
-    private void admitConnections() {
+    /** Evicts connections beyond the limit, and pauses or resumes accepting. */
+    private void enforceLimit() {
         connections.evictBeyondLimit();
         updateAccepting();
     }
@@ -153,12 +157,12 @@
             evictionRetryScheduled = true;
             loop.schedule(EVICTION_RETRY_MS, () -> {
                 evictionRetryScheduled = false;
-                admitConnections();
+                enforceLimit();
             });
         }
     }
 
-    /** Listens no more, at once: the node has ended. Where it never listened there is nothing to close. */
+    /** Closes the listening channel immediately, as the node has ended; does nothing if it was never bound. */
     public void close() {
         if (serverChannel != null) {
             serverChannel.close().addListener(closed -> {
@@ -169,32 +173,32 @@
         }
     }
 
-    /** Lets connections read on that were held back because too much was buffered for all requests. */
+    /** Resumes connections that were held back because the buffers of all requests were full. */
     public void resumeReading() {
         connections.resumeReading();
     }
 
-    /** Has each connection end behind its last response from now on. */
+    /** Makes each connection close after its last response from now on. */
     public void closeAfterResponses() {
         connections.closeAfterResponses();
     }
 
-    /** Ends connections as they are between requests, from now on until there is none. */
+    /** Closes connections that are between requests, repeatedly until none is left. */
     public void closeIdle() {
         connections.closeIdle();
     }
 
-    /** Ends each connection that has no request open, as the process is about to end. */
+    /** Closes each connection without an open request, as the process is about to exit. */
     public void closeAll() {
         connections.closeAll();
     }
 
-    /** Stops listening, at the next moment at which no connection waits to be accepted. */
+    /** Stops listening as soon as no connection waits to be accepted. */
     public void stopListening() {
         acceptQueue.closeWhenEmpty();
     }
 
-    /** Whether there is no connection left. */
+    /** Returns whether there is no connection left. */
     public boolean isIdle() {
         return connections.isEmpty();
     }
--- a/src/main/java/quotagateway/client/ClientRequest.java
+++ b/src/main/java/quotagateway/client/ClientRequest.java
@@ -1,10 +1,10 @@
 package quotagateway.client;
 
-/** A request that a client's connection waits on, as the connection sees it. */
+/** A request for whose response a client's connection waits, as seen by the connection. */
 public interface ClientRequest {
-    /** The client's connection has ended: nobody waits for the response any more. */
+    /** Called when the client's connection has ended, so that the response is no longer needed. */
     void onClientDisconnected();
 
-    /** What came behind the request on its connection could not be read: it fails at once. */
+    /** Fails the request immediately, as the input after it on its connection is malformed. */
     void onConnectionMalformed();
 }
--- a/src/main/java/quotagateway/client/ClientRequestHandler.java
+++ b/src/main/java/quotagateway/client/ClientRequestHandler.java
@@ -5,26 +5,26 @@
 import quotagateway.log.NodeEvent;
 import quotagateway.streaming.RequestBody;
 
-/** Takes the requests of clients' connections, and says what the connections may do. Called on the event loop. */
+/** Accepts the requests of client connections, and decides what the connections may do. Called on the event loop. */
 public interface ClientRequestHandler {
     /**
-     * Takes a request over, with its large body or null; its response is given to the slot, now or later. Returns
-     * what is wrong with the command, for the client to read, or null where it was taken.
+     * Accepts a request, with its large body or null, and gives its response to the slot, now or later. Returns null if
+     * the request was accepted, or else the error text for the client.
      *
-     * @param receivedAtMs when the last bytes of the command came (ms of the loop's clock), which may be long ago where
-     *     its connection had to wait; of one with a large body, when those came that were read last
+     * @param receivedAtMs when the last bytes of the command arrived (ms of the loop's clock), which may be long ago if
+     *     its connection was held back; for a large body, when the bytes that were read last arrived
      */
     String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body, double receivedAtMs);
 
-    /** Whether so much is buffered for all requests that clients should be read no further. */
+    /** Returns whether the buffers of all requests are full, so that reading from clients has to pause. */
     boolean isMemoryExhausted();
 
-    /** Whether the node may still begin to listen. */
+    /** Returns whether the node may still start to listen. */
     boolean mayListen();
 
-    /** Whether a connection with so many open requests may be ended for this reason. */
+    /** Returns whether a connection with this number of open requests may be closed for this reason. */
     boolean mayClose(CloseReason reason, int openRequests);
 
-    /** A client's connection has ended; its open requests are told next. */
+    /** Called when a client's connection has ended, before its open requests are notified. */
     void onClientConnectionClosed(NodeEvent.ClientConnectionClosed closed);
 }
--- a/src/main/java/quotagateway/client/ClosingSequence.java
+++ b/src/main/java/quotagateway/client/ClosingSequence.java
@@ -7,24 +7,24 @@
 import quotagateway.lifecycle.CloseReason;
 
 /**
- * How the gateway ends a client's connection without losing what is written on it: input is ignored, the output is
- * shut down behind the last response, and the socket is closed once the client has closed its side, or has had the
- * time to. A close with input unread would send a reset, which may overtake a response on its way.
+ * Closes a client's connection without losing what was written on it: input is ignored, the output is shut down after
+ * the last response, and the socket is closed once the client has closed its side or the linger time is over. A close
+ * with unread input would send a reset, which can make the client lose a response that is still in transit.
  */
 final class ClosingSequence {
-    /** How long (ms) a client has to close its side after the gateway's has ended. */
+    /** Time (ms) that a client has to close its side after the gateway has shut down its output. */
     private static final int LINGER_MS = 200;
-    /** A client that takes nothing of what is written to it for so long (ms) after the end is cut off. */
+    /** Time (ms) without progress in sending the remaining output after which the connection is closed. */
     private static final int UNREAD_TIMEOUT_MS = 2000;
 
-    /** The states in their order; none is entered twice. */
+    /** The states in their order; no state is entered twice. */
     private enum State {
-        /** Commands are taken. */
+        /** Commands are accepted. */
         READING,
-        /** What still comes is dropped; responses to commands taken before may be owed. */
+        /** Input is dropped; responses to commands accepted before may still be owed. */
         INPUT_IGNORED,
-        /** No further response is written, and the output ends behind the last one. */
-        OUTPUT_ENDING
+        /** No further response is written, and the output is shut down after the last one. */
+        OUTPUT_SHUTTING_DOWN
     }
 
     private final DuplexChannel channel;
@@ -39,17 +39,17 @@
         return state == State.READING;
     }
 
-    boolean isOutputEnding() {
-        return state == State.OUTPUT_ENDING;
+    boolean isOutputShuttingDown() {
+        return state == State.OUTPUT_SHUTTING_DOWN;
     }
 
-    /** Why the connection has ended or is about to. */
+    /** Returns why the connection has ended or is about to end. */
     CloseReason reason() {
         return reason;
     }
 
-    /** Gives the reason for the end; the first one counts. */
-    void giveReason(CloseReason cause) {
+    /** Sets the reason for the close, unless one has been set before. */
+    void setReasonIfAbsent(CloseReason cause) {
         if (reason == CloseReason.CLOSED_BY_PEER) {
             reason = cause;
         }
@@ -61,40 +61,40 @@
         }
     }
 
-    /** Enters the last state; {@link #endOutput()} follows. */
-    void beginOutputEnd(CloseReason cause) {
-        giveReason(cause);
-        state = State.OUTPUT_ENDING;
+    /** Enters the last state; the caller then calls {@link #shutDownOutputAfterWrites()}. */
+    void startOutputShutdown(CloseReason cause) {
+        setReasonIfAbsent(cause);
+        state = State.OUTPUT_SHUTTING_DOWN;
     }
 
     /**
-     * Shuts the output down behind all that is written. An empty write marks that place: to shut it down at once
-     * would drop what a slow client has still to read.
+     * Shuts down the output once everything written has been sent. The completion of an empty write marks that point,
+     * as an immediate shutdown would drop output that a slow client has not read yet.
      */
-    void endOutput() {
-        closeUnlessRead(Long.MAX_VALUE);
+    void shutDownOutputAfterWrites() {
+        closeIfStalled(Long.MAX_VALUE);
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
             channel.shutdownOutput();
             channel.eventLoop().schedule(() -> closeNow(CloseReason.LINGER_OVER), LINGER_MS, TimeUnit.MILLISECONDS);
         });
     }
 
-    /** Closes the connection if the client has taken nothing since so many bytes were unsent; else looks again. */
-    private void closeUnlessRead(long unsentBefore) {
+    /** Closes the connection if the number of unsent bytes has not fallen; otherwise checks again later. */
+    private void closeIfStalled(long previousUnsent) {
         long unsent = unsentBytes();
-        if (unsent >= unsentBefore) {
+        if (unsent >= previousUnsent) {
             closeNow(CloseReason.UNREAD);
         } else if (channel.isActive()) {
-            channel.eventLoop().schedule(() -> closeUnlessRead(unsent), UNREAD_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> closeIfStalled(unsent), UNREAD_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     void closeNow(CloseReason cause) {
-        giveReason(cause);
+        setReasonIfAbsent(cause);
         channel.close();
     }
 
-    /** Bytes written and not taken over by the system, as the client reads slowly. */
+    /** Returns how many written bytes the operating system has not accepted yet, as the client reads slowly. */
     long unsentBytes() {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
         return buffer == null ? 0 : buffer.totalPendingWriteBytes();
--- a/src/main/java/quotagateway/client/CommandAttributes.java
+++ b/src/main/java/quotagateway/client/CommandAttributes.java
@@ -3,20 +3,20 @@
 import java.util.regex.Pattern;
 
 /**
- * The attribute list of a request command, {@code name=value,name=value,...}. Attributes that this gateway doesn't
- * know are left alone: the list goes on to the endpoint as it came, except for the client's timeout.
+ * The attribute list of a request command, {@code name=value,name=value,...}. Unknown attributes are ignored and kept:
+ * the list is forwarded to the endpoint unchanged, except for the client's timeout.
  */
 final class CommandAttributes {
-    /** Java's own parsing also takes {@code +1}; nine digits always fit an {@code int}. */
+    /** {@link Integer#parseInt} also accepts {@code +1}; nine digits always fit an {@code int}. */
     private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,9}");
-    /** Java's own parsing also takes {@code NaN}, {@code 1e30} and {@code 0x1p3}. */
+    /** {@link Double#parseDouble} also accepts {@code NaN}, {@code 1e30} and {@code 0x1p3}. */
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     private final String list;
     private String requestClass;
     private String plan;
     private double clientTimeoutMs = Double.NaN;
-    /** Where the value of the timeout stands in the list; negative while it has not been found. */
+    /** Start of the timeout's value in the list; negative until it has been found. */
     private int timeoutStart = -1;
 
     private int timeoutEnd = -1;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Parses a list; of an attribute that is given twice the last one counts.
+     * Parses a list. If an attribute occurs more than once, its last value applies.
      *
-     * @throws MalformedCommandException where it has another form, a number is malformed, or one of the class, the
-     *     plan and the timeout is missing
+     * @throws MalformedCommandException if the list has another form, a number is malformed, or the request class, the
+     *     plan or the timeout is missing
      */
     static CommandAttributes parse(String list) {
         CommandAttributes attributes = new CommandAttributes(list);
@@ -61,23 +61,23 @@
             case "c" -> requestClass = value;
             case "t" -> plan = value;
             case "d" -> {
-                clientTimeoutMs = Double.parseDouble(requireForm(DECIMAL_NUMBER, value));
+                clientTimeoutMs = Double.parseDouble(requireMatch(DECIMAL_NUMBER, value));
                 timeoutStart = equalsSign + 1;
                 timeoutEnd = end;
             }
-            case "units" -> units = Integer.parseInt(requireForm(WHOLE_NUMBER, value));
-            case "spread" -> gatewayCount = Integer.parseInt(requireForm(WHOLE_NUMBER, value));
-            case "first" -> firstGateway = Integer.parseInt(requireForm(WHOLE_NUMBER, value));
+            case "units" -> units = Integer.parseInt(requireMatch(WHOLE_NUMBER, value));
+            case "spread" -> gatewayCount = Integer.parseInt(requireMatch(WHOLE_NUMBER, value));
+            case "first" -> firstGateway = Integer.parseInt(requireMatch(WHOLE_NUMBER, value));
             case "k" -> hasIdempotencyKey = !value.isEmpty();
             case "r" -> retry = value.equals("1");
             default -> {
-                // an attribute between the client and its endpoint
+                // an attribute for the endpoint, which the gateway ignores
             }
         }
     }
 
-    private static String requireForm(Pattern form, String value) {
-        if (!form.matcher(value).matches()) {
+    private static String requireMatch(Pattern pattern, String value) {
+        if (!pattern.matcher(value).matches()) {
             throw new MalformedCommandException("a number is malformed");
         }
         return value;
@@ -115,12 +115,12 @@
         return hasIdempotencyKey;
     }
 
-    /** The list up to the value of the client's timeout. */
+    /** Returns the list up to the value of the client's timeout. */
     String textBeforeTimeout() {
         return list.substring(0, timeoutStart);
     }
 
-    /** The list behind the value of the client's timeout. */
+    /** Returns the list after the value of the client's timeout. */
     String textAfterTimeout() {
         return list.substring(timeoutEnd);
     }
--- a/src/main/java/quotagateway/client/CommandTimer.java
+++ b/src/main/java/quotagateway/client/CommandTimer.java
@@ -3,8 +3,8 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * How long a connection has been open, and since when the rest of a command is waited for. The wait for the first
- * command begins when the connection opens, that for a later one with its first bytes.
+ * Measures how long a connection has been open, and since when it has waited for a command to be completed. The wait
+ * for the first command begins when the connection opens, the wait for a later command with its first bytes.
  */
 final class CommandTimer {
     private static final double NOT_WAITING = Double.MAX_VALUE;
@@ -23,29 +23,29 @@
         return loop.now() - openedAtMs;
     }
 
-    /** Whether the connection was opened before a time (ms) of the loop's clock. */
-    boolean isOpenSinceBefore(double timeMs) {
+    /** Returns whether the connection was opened before a time (ms of the loop's clock). */
+    boolean wasOpenedBefore(double timeMs) {
         return openedAtMs < timeMs;
     }
 
-    /** Whether a command is waited for since before a time (ms) of the loop's clock. */
+    /** Returns whether the connection has waited for a command since before a time (ms of the loop's clock). */
     boolean isWaitingSinceBefore(double timeMs) {
         return waitingSinceMs < timeMs;
     }
 
-    /** A command is whole, and nothing has come of the next one. */
+    /** Ends the wait: a command is complete, and no part of the next one has arrived. */
     void stop() {
         waitingSinceMs = NOT_WAITING;
     }
 
-    /** A command has begun to come. */
+    /** Starts the wait, unless it has started already: the first bytes of a command have arrived. */
     void startUnlessWaiting() {
         if (waitingSinceMs == NOT_WAITING) {
             waitingSinceMs = loop.now();
         }
     }
 
-    /** More of a long command has come, or the gateway is the one that has not read it until now. */
+    /** Restarts the wait: more of a long command has arrived, or the gateway had paused reading it. */
     void restart() {
         waitingSinceMs = loop.now();
     }
--- a/src/main/java/quotagateway/client/ConnectionTable.java
+++ b/src/main/java/quotagateway/client/ConnectionTable.java
@@ -6,34 +6,34 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * The open connections of a listener: how many there may be, which one is evicted for a new one, and which ones are
- * ended because they send no whole command or because the node shuts down.
+ * The open connections of a listener. Enforces their limit, chooses the connection to evict for a new one, and closes
+ * connections whose command is overdue or that are idle while the node shuts down.
  */
 final class ConnectionTable {
-    /** A connection on which no whole command comes for so long (ms) is told so and ended. */
+    /** Time (ms) without a complete command after which a connection gets an error and is closed. */
     private static final double COMMAND_TIMEOUT_MS = 2500;
     /**
-     * A connection without a first command may be evicted after this (ms). Clients send one as soon as they are
-     * connected, so one that comes later is not expected.
+     * Time (ms) after which a connection without a first command may be evicted. Clients send a command as soon as they
+     * have connected, so a later first command is not expected.
      */
     private static final double EVICTABLE_AFTER_MS = 500;
-    /** During the shutdown, a connection has so long (ms) for its first command. */
+    /** Time (ms) that a connection has for its first command during the shutdown. */
     private static final double FIRST_COMMAND_TIMEOUT_MS = 1000;
-    /** During the shutdown, connections that can be ended are looked for this often (ms). */
+    /** Interval (ms) between checks for idle connections during the shutdown. */
     private static final double SHUTDOWN_SWEEP_INTERVAL_MS = 50;
-    /** Lets all that has come by now be read before a connection is taken to be idle. */
-    private static final double NEXT_ROUND_MS = 1;
+    /** Delay (ms) that lets input that has arrived already be read before a connection is considered idle. */
+    private static final double NEXT_ITERATION_MS = 1;
 
-    private static final ClientConnection[] NONE = {};
+    private static final ClientConnection[] NO_CONNECTIONS = {};
 
     private final EventLoopContext loop;
-    /** All connections but evicted ones, those first that have been without a request for longest. */
-    private final Set<ClientConnection> open = new LinkedHashSet<>();
-    /** Those of the open ones that have sent no whole command yet, the oldest first. */
+    /** All connections except evicted ones; those that have been without a request for longest come first. */
+    private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
+    /** The open connections that have sent no complete command yet, the oldest first. */
     private final Set<ClientConnection> awaitingFirstCommand = new LinkedHashSet<>();
-    /** Those that were evicted and whose clients have not closed their side yet, the oldest first. */
+    /** The evicted connections whose clients have not closed their side yet, the oldest first. */
     private final Set<ClientConnection> evicted = new LinkedHashSet<>();
-    /** Set by the thread that starts the node too. */
+    /** Also set by the thread that starts the node. */
     private volatile int limit;
 
     private boolean closingAfterResponses;
@@ -46,16 +46,16 @@
     // ---- the connections ----
 
     void add(ClientConnection connection) {
-        open.add(connection);
+        openConnections.add(connection);
         awaitingFirstCommand.add(connection);
     }
 
-    /** A whole command has come on a connection, and is not among the responses that it owes yet. */
+    /** Called when a complete command has arrived, before its response slot is added to the connection. */
     void onCommand(ClientConnection connection) {
         awaitingFirstCommand.remove(connection);
         if (!connection.hasOpenResponses()) {
-            open.remove(connection);
-            open.add(connection);
+            openConnections.remove(connection);
+            openConnections.add(connection);
         }
     }
 
@@ -63,19 +63,19 @@
         return awaitingFirstCommand.contains(connection);
     }
 
-    /** A connection has ended. */
+    /** Called when a connection has ended. */
     void remove(ClientConnection connection) {
-        open.remove(connection);
+        openConnections.remove(connection);
         awaitingFirstCommand.remove(connection);
         evicted.remove(connection);
     }
 
-    /** Whether there is no connection, not even an evicted one that its client has not closed. */
+    /** Returns whether there is no connection, not even an evicted one that its client has not closed. */
     boolean isEmpty() {
-        return open.isEmpty() && evicted.isEmpty();
+        return openConnections.isEmpty() && evicted.isEmpty();
     }
 
-    /** Lets each connection read on that was held back because too much was buffered for all requests. */
+    /** Resumes the connections that were held back because the buffers of all requests were full. */
     void resumeReading() {
         for (ClientConnection connection : snapshot()) {
             connection.updateReading();
@@ -84,17 +84,17 @@
 
     // ---- the limit ----
 
-    /** Sets how many connections there may be; those that are too many then are evicted as others come or end. */
+    /** Sets the limit of connections; connections beyond it are evicted as others open or end. */
     void setLimit(int connections) {
         limit = connections;
     }
 
-    /** Whether one more connection may be accepted, to be held or to have another one evicted for it. */
+    /** Returns whether another connection may be accepted, within the limit or to evict another one for it. */
     boolean hasCapacity() {
-        return open.size() < limit + ClientListener.connectionsBeyondLimit(limit);
+        return openConnections.size() < limit + ClientListener.connectionsBeyondLimit(limit);
     }
 
-    /** Evicts connections until the limit holds, or none may be evicted. */
+    /** Evicts connections until the limit is met or no connection may be evicted. */
     void evictBeyondLimit() {
         ClientConnection candidate = evictionCandidate();
         while (candidate != null) {
@@ -104,55 +104,55 @@
     }
 
     /**
-     * The connection to evict, or null where the limit holds or all have open requests. First comes one that has
-     * sent nothing and had the time to; then the one that has been between requests for longest, whose client finds
-     * the end at once; and last the oldest with the beginning of its first command, as that may be a true request on
-     * a slow way.
+     * Returns the connection to evict, or null if the limit is met or no connection may be evicted. The first choice is
+     * the oldest connection that has had the time for a first command and has sent nothing. The second is the
+     * connection that has been between requests for longest, whose client sees the close immediately. The last is the
+     * oldest connection with an incomplete first command, as that may be a valid request on a slow network.
      */
     private ClientConnection evictionCandidate() {
-        if (open.size() <= limit) {
+        if (openConnections.size() <= limit) {
             return null;
         }
-        ClientConnection oldestWithBegunCommand = null;
-        double openedBefore = loop.now() - EVICTABLE_AFTER_MS;
+        ClientConnection oldestWithPartialCommand = null;
+        double openedBeforeMs = loop.now() - EVICTABLE_AFTER_MS;
         for (ClientConnection connection : awaitingFirstCommand) {
-            if (connection.isReading() && connection.isOpenSinceBefore(openedBefore)) {
-                if (!connection.isCommandBegun()) {
+            if (connection.isReading() && connection.wasOpenedBefore(openedBeforeMs)) {
+                if (!connection.hasUnprocessedInput()) {
                     return connection;
                 }
-                oldestWithBegunCommand = oldestWithBegunCommand == null ? connection : oldestWithBegunCommand;
+                oldestWithPartialCommand = oldestWithPartialCommand == null ? connection : oldestWithPartialCommand;
             }
         }
-        for (ClientConnection connection : open) {
+        for (ClientConnection connection : openConnections) {
             if (connection.isIdle() && !isAwaitingFirstCommand(connection) && connection.isFlushed()) {
                 return connection;
             }
         }
-        return oldestWithBegunCommand;
+        return oldestWithPartialCommand;
     }
 
     /**
-     * Ends a connection in order: its client has a while to see the end, and what it sends meanwhile is dropped, as a
-     * close over it would be a reset that takes the last response with it. Of many evicted ones the first are closed
-     * at once.
+     * Closes a connection gracefully: its client has time to see the end of the stream, and what the client sends
+     * meanwhile is read and dropped, as a close with unread input would be a reset that discards the last response. If
+     * many connections are evicted, the oldest of these are closed immediately.
      */
     private void evict(ClientConnection connection) {
-        open.remove(connection);
+        openConnections.remove(connection);
         awaitingFirstCommand.remove(connection);
         evicted.add(connection);
-        connection.finish(CloseReason.EVICTED);
+        connection.closeGracefully(CloseReason.EVICTED);
         if (evicted.size() > ClientListener.connectionsBeyondLimit(limit)) {
-            ClientConnection first = evicted.iterator().next();
-            evicted.remove(first); // before its channel tells of the end
-            first.closeNow(CloseReason.EVICTED);
+            ClientConnection oldest = evicted.iterator().next();
+            evicted.remove(oldest); // before its channel reports the close
+            oldest.closeNow(CloseReason.EVICTED);
         }
     }
 
-    /** Ends connections that have been waited on for a whole command for too long: they would fill the limit. */
+    /** Rejects connections whose command is overdue, as they would use up the limit. */
     void rejectOverdueCommands() {
-        double waitingBefore = loop.now() - COMMAND_TIMEOUT_MS;
+        double waitingBeforeMs = loop.now() - COMMAND_TIMEOUT_MS;
         for (ClientConnection connection : snapshot()) {
-            if (connection.isCommandOverdue(waitingBefore)) {
+            if (connection.isCommandOverdue(waitingBeforeMs)) {
                 connection.rejectInput("no whole command came");
             }
         }
@@ -160,7 +160,7 @@
 
     // ---- the shutdown ----
 
-    /** Has each connection end behind its last response from now on. */
+    /** Makes each connection close after its last response from now on. */
     void closeAfterResponses() {
         closingAfterResponses = true;
     }
@@ -170,34 +170,35 @@
     }
 
     /**
-     * Ends connections that are between requests, again and again until there is none. Where a command has begun, or
-     * may be on its way on a new connection, it is waited for: else its client would have to ask elsewhere.
+     * Closes connections that are between requests, and repeats this until none is left. Waits for a command that has
+     * partly arrived or that may be in transit on a new connection, as otherwise its client would have to send the
+     * command to another gateway.
      */
     void closeIdle() {
-        if (!open.isEmpty()) {
+        if (!openConnections.isEmpty()) {
             loop.schedule(SHUTDOWN_SWEEP_INTERVAL_MS, this::closeIdle); // first, so that a fault doesn't end the sweeps
         }
         for (ClientConnection connection : snapshot()) {
-            boolean firstCommandDue = !isAwaitingFirstCommand(connection)
-                    || connection.isOpenSinceBefore(loop.now() - FIRST_COMMAND_TIMEOUT_MS);
-            if (firstCommandDue && connection.isIdle()) {
-                loop.schedule(NEXT_ROUND_MS, connection::finishIfIdle);
+            boolean mayClose = !isAwaitingFirstCommand(connection)
+                    || connection.wasOpenedBefore(loop.now() - FIRST_COMMAND_TIMEOUT_MS);
+            if (mayClose && connection.isIdle()) {
+                loop.schedule(NEXT_ITERATION_MS, connection::closeIfIdle);
             }
         }
     }
 
     /**
-     * Ends each connection without an open request, as the process is about to end. A client with half a command on
-     * its way is told so, as it would never hear what becomes of it.
+     * Closes each connection without an open request, as the process is about to exit. A client whose command has only
+     * partly arrived gets an error, as it would get no other response.
      */
     void closeAll() {
         for (ClientConnection connection : snapshot()) {
-            connection.finishUnlessRequestOpen();
+            connection.closeUnlessRequestOpen();
         }
     }
 
-    /** A copy, as connections that end are taken out meanwhile. */
+    /** Returns a copy of the open connections, as connections are removed during an iteration. */
     private ClientConnection[] snapshot() {
-        return open.toArray(NONE);
+        return openConnections.toArray(NO_CONNECTIONS);
     }
 }
--- a/src/main/java/quotagateway/client/LargeBodyReceiver.java
+++ b/src/main/java/quotagateway/client/LargeBodyReceiver.java
@@ -8,29 +8,32 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * Receives the large body of a command on one connection. The command itself comes first, and waits here until enough
- * of its body is buffered to look for an endpoint. A body of no request, as its command was answered without it, is
- * read and dropped.
+ * Receives the large body of a command on one connection. The command arrives before its body, and is kept here until
+ * enough of the body is buffered to choose an endpoint. A body whose command was answered without it is read and
+ * dropped.
  */
 final class LargeBodyReceiver implements LargeValueHandler {
     private final ClientConnection connection;
     private final EventLoopContext loop;
-    private final ClientRequestHandler requests;
+    private final ClientRequestHandler requestHandler;
     private final CommandTimer timer;
     /** The body that is being received; null between bodies. */
     private RequestBody body;
     /** Whether the body belongs to a request command. */
-    private boolean claimed;
-    /** The command that waits for its body; null where none does. */
-    private ArrayRedisMessage waitingCommand;
+    private boolean commandAttached;
+    /** The command that waits for its body, or null. */
+    private ArrayRedisMessage pendingCommand;
 
-    private ResponseSlot waitingSlot;
+    private ResponseSlot pendingSlot;
 
     LargeBodyReceiver(
-            ClientConnection connection, EventLoopContext loop, ClientRequestHandler requests, CommandTimer timer) {
+            ClientConnection connection,
+            EventLoopContext loop,
+            ClientRequestHandler requestHandler,
+            CommandTimer timer) {
         this.connection = connection;
         this.loop = loop;
-        this.requests = requests;
+        this.requestHandler = requestHandler;
         this.timer = timer;
     }
 
@@ -45,61 +48,61 @@
             return false;
         }
         body = new RequestBody(length, loop.now(), connection::updateReading);
-        claimed = false;
+        commandAttached = false;
         return true;
     }
 
     @Override
     public void onValueContent(ByteBuf part, boolean last) {
-        RequestBody receiving = body;
+        RequestBody currentBody = body;
         if (last) {
             body = null;
             timer.stop();
         } else {
             timer.restart();
         }
-        if (!connection.isReading() || !claimed) {
-            receiving.discard();
+        if (!connection.isReading() || !commandAttached) {
+            currentBody.discard();
         }
-        receiving.append(part);
-        if (waitingCommand != null && (receiving.isReadyToForward() || requests.isMemoryExhausted())) {
-            submitCommand(receiving);
+        currentBody.append(part);
+        if (pendingCommand != null && (currentBody.isReadyToForward() || requestHandler.isMemoryExhausted())) {
+            submitCommand(currentBody);
         }
     }
 
-    private void submitCommand(RequestBody receiving) {
-        ArrayRedisMessage command = waitingCommand;
-        waitingCommand = null;
-        connection.submit(waitingSlot, command, receiving);
+    private void submitCommand(RequestBody currentBody) {
+        ArrayRedisMessage command = pendingCommand;
+        pendingCommand = null;
+        connection.submit(pendingSlot, command, currentBody);
         ReferenceCountUtil.release(command);
     }
 
-    /** Whether a body has begun to come and not ended. */
+    /** Returns whether a body is being received. */
     boolean isReceiving() {
         return body != null;
     }
 
-    /** Whether more of the body should be read now; only while one is being received. */
+    /** Returns whether more of the body should be read now; called only while a body is being received. */
     boolean wantsMore() {
         return body.wantsMore();
     }
 
-    /** Has a command wait for the body that is being received. */
-    void claim(ResponseSlot slot, ArrayRedisMessage command) {
-        claimed = true;
-        waitingSlot = slot;
-        waitingCommand = ReferenceCountUtil.retain(command);
+    /** Attaches the command of the body that is being received; it is submitted once enough is buffered. */
+    void attachCommand(ResponseSlot slot, ArrayRedisMessage command) {
+        commandAttached = true;
+        pendingSlot = slot;
+        pendingCommand = ReferenceCountUtil.retain(command);
     }
 
-    /** The slot of the command that waits for its body, or null. */
-    ResponseSlot waitingSlot() {
-        return waitingCommand == null ? null : waitingSlot;
+    /** Returns the slot of the command that waits for its body, or null. */
+    ResponseSlot pendingSlot() {
+        return pendingCommand == null ? null : pendingSlot;
     }
 
-    /** Drops the command that waits, and what still comes of the body. */
+    /** Drops the command that waits for its body, and the rest of the body as it arrives. */
     void discard() {
-        ReferenceCountUtil.release(waitingCommand);
-        waitingCommand = null;
+        ReferenceCountUtil.release(pendingCommand);
+        pendingCommand = null;
         if (body != null) {
             body.discard();
         }
--- a/src/main/java/quotagateway/client/ListenerContext.java
+++ b/src/main/java/quotagateway/client/ListenerContext.java
@@ -3,17 +3,17 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * What all connections of one listener share.
+ * State that all connections of one listener share.
  *
- * @param loop the event loop that they run on
- * @param requests whom their commands go to
- * @param connections the table that they are in while they are open
- * @param readAheadBudget what they may read ahead together
- * @param onConnectionClosed run when one of them has ended, after its requests have heard of that
+ * @param loop the event loop that the connections run on
+ * @param requestHandler the handler of their commands
+ * @param connections the table of the open connections
+ * @param readAheadBudget the shared budget of bytes that are read ahead
+ * @param onConnectionClosed run when a connection has ended, after its requests have been notified
  */
 record ListenerContext(
         EventLoopContext loop,
-        ClientRequestHandler requests,
+        ClientRequestHandler requestHandler,
         ConnectionTable connections,
         ReadAheadBudget readAheadBudget,
         Runnable onConnectionClosed) {}
--- a/src/main/java/quotagateway/client/ReadAhead.java
+++ b/src/main/java/quotagateway/client/ReadAhead.java
@@ -10,43 +10,47 @@
 import quotagateway.transport.Transport;
 
 /**
- * First handler on a client's connection: buffers what is read while the connection's commands are held back. A
- * connection's end is seen only behind all bytes that came before it, so it is read on, up to a bound of its own and
- * one of all connections.
+ * First handler of a client connection: buffers input while the connection's commands are held back. The end of a
+ * connection is only seen after all bytes before it, so reading continues, up to a limit of the connection and a budget
+ * shared by all connections.
  *
- * <p>What was read is passed on in a later round of the event loop than the one it was read in: by then an end that
- * came right behind it is known, and nothing of it is taken any more.
+ * <p>Input is forwarded in a later iteration of the event loop than the one in which it was read. If the connection
+ * ends directly after the input, the end is known by then and the input is discarded.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
-    /** What was read at once, and when that had come (ms of the loop's clock). */
-    private record Piece(ByteBuf buffer, double receivedAtMs) {}
+    /** The bytes of one read, and when they arrived (ms of the loop's clock). */
+    private record Chunk(ByteBuf buffer, double receivedAtMs) {}
 
     private final EventLoopContext loop;
     private final ReadAheadBudget budget;
     private final int maxBytes = Transport.readAheadBytes();
-    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
+    private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
     private final double openedAtMs;
-    /** How long (ms) the first bytes may have been unread in the accept queue; 0 once they are read. */
-    private double longestQueueWaitMs;
-    /** When the bytes that were passed on last had come. */
+    /** The longest time (ms) that the first bytes may have been unread in the accept queue; 0 once they are read. */
+    private double maxQueueWaitMs;
+    /** When the bytes that were forwarded last arrived (ms of the loop's clock). */
     private double receivedAtMs;
 
     private ChannelHandlerContext context;
     private int bufferedBytes;
     private boolean heldBack;
     private boolean shutDown;
-    private boolean passScheduled;
+    private boolean forwardScheduled;
 
-    /** The last is how long (ms) the connection may have waited before it was accepted. */
-    ReadAhead(EventLoopContext loop, ReadAheadBudget budget, double longestQueueWaitMs) {
+    /**
+     * Creates the handler of one connection.
+     *
+     * @param maxQueueWaitMs the longest time (ms) that the connection may have waited before it was accepted
+     */
+    ReadAhead(EventLoopContext loop, ReadAheadBudget budget, double maxQueueWaitMs) {
         this.loop = loop;
         this.budget = budget;
-        this.longestQueueWaitMs = longestQueueWaitMs;
+        this.maxQueueWaitMs = maxQueueWaitMs;
         openedAtMs = loop.now();
         receivedAtMs = openedAtMs;
     }
 
-    /** When the bytes that were passed on last had come (ms of the loop's clock): long ago if they were held back. */
+    /** Returns when the bytes that were forwarded last arrived (ms of the loop's clock), long ago if held back. */
     double receivedAtMs() {
         return receivedAtMs;
     }
@@ -60,12 +64,12 @@
         return heldBack;
     }
 
-    /** Whether all that was read has been passed on. */
+    /** Returns whether everything read has been forwarded. */
     boolean isEmpty() {
-        return pieces.isEmpty();
+        return chunks.isEmpty();
     }
 
-    /** Passes nothing on until {@link #resume()}. */
+    /** Forwards nothing until {@link #resume()} is called. */
     void holdBack() {
         heldBack = true;
         if (!shutDown) {
@@ -73,20 +77,20 @@
         }
     }
 
-    /** Passes on what was buffered, in a later round of the loop, and what is read from now on. */
+    /** Forwards the buffered input in a later iteration of the event loop, and then input as it is read. */
     void resume() {
         heldBack = false;
         if (!shutDown) {
-            schedulePass();
+            scheduleForward();
             updateAutoRead();
         }
     }
 
-    /** Drops what is buffered, and reads nothing any more. */
+    /** Drops the buffered input and stops reading. */
     void shutDown() {
         shutDown = true;
-        pieces.forEach(piece -> piece.buffer().release());
-        pieces.clear();
+        chunks.forEach(chunk -> chunk.buffer().release());
+        chunks.clear();
         addBuffered(-bufferedBytes);
         updateAutoRead();
     }
@@ -98,50 +102,50 @@
             return;
         }
         ByteBuf buffer = (ByteBuf) msg;
-        pieces.add(new Piece(buffer, loop.now() - unreadForMs()));
-        addBuffered(buffer.capacity()); // not its readable bytes: one byte of a slow client may hold a large buffer
+        chunks.add(new Chunk(buffer, loop.now() - unreadDurationMs()));
+        addBuffered(buffer.capacity()); // not readableBytes(): one byte of a slow client may hold a large buffer
         updateAutoRead();
     }
 
     /**
-     * How long the bytes that are read now had been there. The kernel is asked where the connection has waited to be
-     * accepted; it may count by another clock, so no more is believed than the loop's allows.
+     * Returns how long (ms) the bytes that are read now had been unread. Queries the kernel if the connection may have
+     * waited in the accept queue. The kernel may use another clock, so its value is bounded by the loop's clock.
      */
-    private double unreadForMs() {
-        if (longestQueueWaitMs <= 0) {
+    private double unreadDurationMs() {
+        if (maxQueueWaitMs <= 0) {
             return 0;
         }
-        double longestMs = longestQueueWaitMs + loop.now() - openedAtMs;
-        longestQueueWaitMs = 0;
-        return Math.min(longestMs, SocketAge.sinceLastBytesMs(context.channel()));
+        double maxUnreadMs = maxQueueWaitMs + loop.now() - openedAtMs;
+        maxQueueWaitMs = 0;
+        return Math.min(maxUnreadMs, SocketAge.sinceLastBytesMs(context.channel()));
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        schedulePass();
+        scheduleForward();
     }
 
-    private void schedulePass() {
-        if (!heldBack && !passScheduled && !pieces.isEmpty()) {
-            passScheduled = true;
-            context.executor().execute(this::pass);
+    private void scheduleForward() {
+        if (!heldBack && !forwardScheduled && !chunks.isEmpty()) {
+            forwardScheduled = true;
+            context.executor().execute(this::forwardBuffered);
         }
     }
 
-    private void pass() {
-        passScheduled = false;
+    private void forwardBuffered() {
+        forwardScheduled = false;
         if (!context.channel().isActive()) {
-            return; // closed in the round before, by either side: channelInactive comes next
+            return; // closed in the previous iteration, by either side: channelInactive follows
         }
-        boolean passed = false;
-        while (!heldBack && !pieces.isEmpty()) { // what is passed may lead to holdBack or shutDown
-            Piece piece = pieces.poll();
-            addBuffered(-piece.buffer().capacity());
-            passed = true;
-            receivedAtMs = piece.receivedAtMs();
-            context.fireChannelRead(piece.buffer());
+        boolean forwarded = false;
+        while (!heldBack && !chunks.isEmpty()) { // forwarding may lead to holdBack or shutDown
+            Chunk chunk = chunks.poll();
+            addBuffered(-chunk.buffer().capacity());
+            forwarded = true;
+            receivedAtMs = chunk.receivedAtMs();
+            context.fireChannelRead(chunk.buffer());
         }
-        if (passed) {
+        if (forwarded) {
             context.fireChannelReadComplete();
         }
         updateAutoRead();
@@ -152,15 +156,15 @@
         budget.add(bytes);
     }
 
-    /** Reads on, or not, as the bounds allow; the budget calls it too, for those that it has stopped. */
+    /** Reads or pauses as the limits require; the budget also calls this for connections that it has paused. */
     void updateAutoRead() {
-        boolean belowOwnBound = bufferedBytes < maxBytes;
-        boolean belowSharedBound = !heldBack || budget.hasCapacity();
-        boolean autoRead = !shutDown && belowOwnBound && belowSharedBound;
+        boolean belowConnectionLimit = bufferedBytes < maxBytes;
+        boolean belowSharedLimit = !heldBack || budget.hasCapacity();
+        boolean autoRead = !shutDown && belowConnectionLimit && belowSharedLimit;
         if (context.channel().config().isAutoRead() != autoRead) {
             context.channel().config().setAutoRead(autoRead);
         }
-        if (!shutDown && belowOwnBound && !belowSharedBound) {
+        if (!shutDown && belowConnectionLimit && !belowSharedLimit) {
             budget.awaitCapacity(this);
         }
     }
--- a/src/main/java/quotagateway/client/ReadAheadBudget.java
+++ b/src/main/java/quotagateway/client/ReadAheadBudget.java
@@ -5,13 +5,13 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * What all connections of one listener may read ahead together. A connection whose commands are held back stops
- * reading once this is used up, and is asked to look again a little later. Used on the event loop alone.
+ * Budget of bytes that all connections of one listener may read ahead. Once it is used up, a connection whose commands
+ * are held back stops reading and checks again periodically. Used only on the event loop.
  */
 final class ReadAheadBudget {
-    /** A quarter of what the buffered requests of a node may take, as both come out of the same memory. */
+    /** A quarter of the limit for a node's buffered requests, as both use the same memory. */
     private static final long MAX_BYTES = 2L << 20;
-    /** How often (ms) connections that this budget has stopped look whether it has capacity again. */
+    /** Interval (ms) at which paused connections check whether the budget has capacity again. */
     private static final double RETRY_INTERVAL_MS = 50;
 
     private final EventLoopContext loop;
@@ -27,12 +27,12 @@
         return usedBytes < MAX_BYTES;
     }
 
-    /** Counts bytes as read ahead, or, where they are negative, as passed on or dropped. */
+    /** Counts bytes as read ahead, or, if the number is negative, as forwarded or dropped. */
     void add(int bytes) {
         usedBytes += bytes;
     }
 
-    /** Has a connection look again whether it may read, after a while. */
+    /** Makes a connection check again after the retry interval whether it may read. */
     void awaitCapacity(ReadAhead connection) {
         waiting.add(connection);
         if (!retryScheduled) {
--- a/src/main/java/quotagateway/client/ResponseQueue.java
+++ b/src/main/java/quotagateway/client/ResponseQueue.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import quotagateway.transport.EventLoopContext;
 
-/** The responses that a client's connection owes, written in the order of its commands. */
+/** The responses that a client connection owes, written in the order of its commands. */
 final class ResponseQueue {
     private final ClientConnection connection;
     private final Channel channel;
@@ -18,7 +18,7 @@
         this.loop = loop;
     }
 
-    /** Adds the slot of the command that has just come. */
+    /** Adds the slot of the command that has just arrived. */
     ResponseSlot add() {
         ResponseSlot slot = new ResponseSlot(connection, commandCount++);
         slots.add(slot);
@@ -37,12 +37,12 @@
         return slots.size();
     }
 
-    /** How many slots there have been. */
+    /** Returns the number of slots added since the connection opened. */
     int commandCount() {
         return commandCount;
     }
 
-    /** Writes the whole responses at the head of the queue, and has a stream behind them start. */
+    /** Writes the complete responses at the head of the queue, and starts a streamed response that follows them. */
     void writeReady() {
         while (!slots.isEmpty() && slots.peek().response() != null) {
             channel.write(slots.poll().response(), channel.voidPromise());
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The channel takes more, or has enough for now: a stream that is being written reads on, or stops. */
+    /** Called when the channel's writability has changed: resumes or pauses the source of the stream being written. */
     void updateStreamReading() {
         if (isStreamAtHead()) {
             slots.peek().stream().updateReading();
@@ -64,7 +64,7 @@
         return !slots.isEmpty() && slots.peek().stream() != null;
     }
 
-    /** How many slots wait for a request's response or for the rest of a stream. */
+    /** Returns the number of slots that wait for a request's response or for the rest of a stream. */
     int openRequestCount() {
         int open = 0;
         for (ResponseSlot slot : slots) {
@@ -73,14 +73,14 @@
         return open;
     }
 
-    /** Has each open request fail at once, as what came behind it cannot be read. */
+    /** Fails each open request immediately, as the input after it is malformed. */
     void failOpenRequests() {
         for (ResponseSlot slot : slots.toArray(new ResponseSlot[0])) {
             slot.notifyMalformed();
         }
     }
 
-    /** Empties the queue: nobody waits for a response any more. */
+    /** Drops all responses, as the client can receive no further one. */
     void abandon() {
         while (!slots.isEmpty()) {
             slots.poll().abandon();
--- a/src/main/java/quotagateway/client/ResponseSlot.java
+++ b/src/main/java/quotagateway/client/ResponseSlot.java
@@ -6,8 +6,8 @@
 import quotagateway.streaming.StreamedResponse;
 
 /**
- * The place of one command's response among those of its connection. It is given one response, whole or as a stream,
- * which is written once all responses before it are.
+ * The position of one command's response among the responses of its connection. It takes one response, complete or as
+ * a stream, which is written after all responses before it.
  */
 public final class ResponseSlot implements ResponseSink {
     private final ClientConnection connection;
@@ -21,17 +21,17 @@
         this.commandsBefore = commandsBefore;
     }
 
-    /** Attaches the request that is to give the response: it hears of the connection's end until it is detached. */
+    /** Attaches the request that provides the response; until it is detached it is notified of the connection's end. */
     public void attachRequest(ClientRequest owner) {
         request = owner;
     }
 
-    /** The request has its final response, or nobody waits for one. */
+    /** Detaches the request: it has its final response, or no response is needed any more. */
     public void detachRequest() {
         request = null;
     }
 
-    /** Gives the response, in place of a stream of which nothing has been written. */
+    /** Sets the response, replacing a stream of which nothing has been written. */
     @Override
     public void respond(RedisMessage message) {
         response = message;
@@ -39,7 +39,7 @@
         connection.writeResponses();
     }
 
-    /** Gives the response as a stream. */
+    /** Sets the response as a stream. */
     public void respondWith(StreamedResponse value) {
         stream = value;
         connection.writeResponses();
@@ -57,49 +57,49 @@
         connection.onStreamCompleted(this);
     }
 
-    /** The number of the connection in the event log. */
+    /** Returns the number of the connection in the event log. */
     public long connectionId() {
         return connection.id();
     }
 
-    /** How long (ms) the connection has been open. */
-    public double connectionAge() {
+    /** Returns how long (ms) the connection has been open. */
+    public double connectionAgeMs() {
         return connection.ageMs();
     }
 
-    /** How many whole commands came on the connection before this one. */
+    /** Returns the number of complete commands that arrived on the connection before this one. */
     public int commandsBefore() {
         return commandsBefore;
     }
 
-    /** Whether the client is known to have closed, also where no handler has heard of it yet in this round. */
+    /** Returns whether the connection is closed, even if no handler has been notified yet in this loop iteration. */
     public boolean isDisconnected() {
         return !connection.isActive();
     }
 
-    /** The whole response, or null while there is none. */
+    /** Returns the complete response, or null while there is none. */
     RedisMessage response() {
         return response;
     }
 
-    /** The response that comes as a stream, or null. */
+    /** Returns the streamed response, or null. */
     StreamedResponse stream() {
         return stream;
     }
 
-    /** Whether a request, or the rest of a stream, is waited for. */
+    /** Returns whether the slot waits for a request or for the rest of a stream. */
     boolean isAwaitingResponse() {
         return request != null || stream != null;
     }
 
-    /** Tells the request, if there is one, that what came behind it cannot be read. */
+    /** Notifies the request, if there is one, that the input after it is malformed. */
     void notifyMalformed() {
         if (request != null) {
             request.onConnectionMalformed();
         }
     }
 
-    /** Drops the response, and tells the request and the stream that nobody waits for them. */
+    /** Drops the response, and notifies the request and the stream that the client has disconnected. */
     void abandon() {
         ReferenceCountUtil.release(response);
         if (request != null) {
--- a/src/main/java/quotagateway/counter/CounterProtocol.java
+++ b/src/main/java/quotagateway/counter/CounterProtocol.java
@@ -48,7 +48,7 @@
 
     /** The new total that a reply to an add has; NaN where it has none. */
     static double total(RedisMessage reply) {
-        String text = RespCodec.isValue(reply) ? RespCodec.text(reply) : "";
+        String text = RespCodec.isNonNullBulkString(reply) ? RespCodec.text(reply) : "";
         return NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
--- a/src/main/java/quotagateway/node/CordonStore.java
+++ b/src/main/java/quotagateway/node/CordonStore.java
@@ -97,7 +97,7 @@
         if (stored) {
             unsavedChanges.remove(endpoint, cordoned); // unless an opposite call has replaced it meanwhile
         }
-        onResult.accept(stored ? CordonResult.DONE : CordonResult.NOT_KEPT);
+        onResult.accept(stored ? CordonResult.DONE : CordonResult.NOT_PERSISTED);
     }
 
     /** Ends the thread after the writes that are queued; called once the event loop has ended. */
--- a/src/main/java/quotagateway/node/NodeAdminOperations.java
+++ b/src/main/java/quotagateway/node/NodeAdminOperations.java
@@ -41,7 +41,7 @@
         if (policy.isCreated()) {
             cordons.setCordoned(endpoint, cordoned, onResult);
         } else {
-            onResult.accept(CordonResult.NOT_KEPT);
+            onResult.accept(CordonResult.NOT_PERSISTED);
         }
     }
 }
--- a/src/main/java/quotagateway/node/NodeTelemetry.java
+++ b/src/main/java/quotagateway/node/NodeTelemetry.java
@@ -76,7 +76,7 @@
                 command.id(),
                 command.requestClass(),
                 slot.connectionId(),
-                slot.connectionAge(),
+                slot.connectionAgeMs(),
                 slot.commandsBefore(),
                 responseDueInMs));
     }
--- a/src/main/java/quotagateway/resp/LargeValueHandler.java
+++ b/src/main/java/quotagateway/resp/LargeValueHandler.java
@@ -2,24 +2,24 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Receives a value that is too large to be buffered whole, as it comes. */
+/** Receives a value that is too large to be buffered completely, part by part as it arrives. */
 public interface LargeValueHandler {
-    /** The index of the one element of an array that may be large. */
+    /** Returns the index of the only array element that may be large. */
     int argumentIndex();
 
     /**
-     * A large value begins.
+     * Called when a large value begins.
      *
-     * @param length the bytes that will follow
-     * @return whether it is taken; one that is not is an error of the connection
+     * @param length the length of the value in bytes
+     * @return whether the value is accepted; a value that is not accepted is an error of the connection
      */
     boolean onValueStarted(int length);
 
     /**
-     * The next part of the value.
+     * Called with the next part of the value.
      *
-     * @param part the receiver releases it
-     * @param last whether the value ends with it
+     * @param part the bytes, which this handler releases
+     * @param last whether the value ends with this part
      */
     void onValueContent(ByteBuf part, boolean last);
 }
--- a/src/main/java/quotagateway/resp/RespCodec.java
+++ b/src/main/java/quotagateway/resp/RespCodec.java
@@ -15,14 +15,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** RESP2 on a channel: Netty's codec, held within the bounds of the gateway's protocol; and helpers for messages. */
+/** RESP2 on a channel: Netty's codec with the size limits of the gateway's protocol, and helpers for messages. */
 public final class RespCodec {
-    /** A value up to this size is buffered whole: lists of names and values and inline responses are shorter. */
+    /** Largest value that is buffered completely; attribute lists and inline responses are shorter. */
     public static final int MAX_BUFFERED_VALUE_BYTES = 64 * 1024;
-    /** The largest value of the protocol. */
+    /** Largest value that the protocol allows. */
     static final int MAX_VALUE_BYTES = 4 << 20;
 
-    /** The longest line, of a simple string, an error or an inline command. */
+    /** Longest line of a simple string, an error or an inline command. */
     private static final int MAX_LINE_BYTES = 4096;
 
     private static final int MAX_ARRAY_DEPTH = 4;
@@ -30,38 +30,38 @@
     private RespCodec() {}
 
     /**
-     * Adds the handlers of the codec to a pipeline: behind them come whole messages, which their receiver releases.
+     * Adds the handlers of the codec to a pipeline. The handlers after them receive complete messages and release them.
      *
-     * @param maxElements the most elements of an array
-     * @return the count of bytes that belong to no whole message; the receiver tells it of each message
+     * @param maxElements maximum number of elements of an array
+     * @return the tracker of bytes that belong to no complete message yet; the receiver reports each message to it
      */
     public static RespFrameTracker addHandlers(ChannelPipeline pipeline, int maxElements) {
         return addHandlers(pipeline, maxElements, null);
     }
 
     /**
-     * As {@link #addHandlers(ChannelPipeline, int)}, but one element of an array may be larger than is buffered: it
-     * goes to a handler as it comes, and the message has an empty value in its place.
+     * Like {@link #addHandlers(ChannelPipeline, int)}, except that one element of an array may be too large to be
+     * buffered: its parts go to a handler as they arrive, and the message has an empty value in its place.
      */
     public static RespFrameTracker addHandlers(
             ChannelPipeline pipeline, int maxElements, LargeValueHandler largeValues) {
-        RespFrameTracker frames = new RespFrameTracker();
+        RespFrameTracker frameTracker = new RespFrameTracker();
         pipeline.addLast(
-                frames,
+                frameTracker,
                 new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE),
-                new ValueSizeLimiter(frames, largeValues),
+                new ValueSizeLimiter(frameTracker, largeValues),
                 new RedisBulkStringAggregator(),
                 new RedisArrayAggregator(maxElements, MAX_ARRAY_DEPTH),
                 new RedisEncoder());
-        return frames;
+        return frameTracker;
     }
 
-    /** A bulk string of a text; the one who writes it releases it. */
+    /** Returns a bulk string with the text; writing it to a channel releases it. */
     public static FullBulkStringRedisMessage bulk(ByteBufAllocator alloc, String text) {
         return new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(alloc, text));
     }
 
-    /** A command: an array of bulk strings. */
+    /** Returns a command, which is an array of bulk strings. */
     public static ArrayRedisMessage command(ByteBufAllocator alloc, String... words) {
         List<RedisMessage> parts = new ArrayList<>(words.length);
         for (String word : words) {
@@ -70,15 +70,15 @@
         return new ArrayRedisMessage(parts);
     }
 
-    /** The text of a bulk string; null where the message is another or a null. */
+    /** Returns the text of a bulk string, or null if the message is of another type or a null bulk string. */
     public static String text(RedisMessage message) {
         return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()
                 ? bulk.content().toString(StandardCharsets.UTF_8)
                 : null;
     }
 
-    /** Whether the message is a bulk string, and not a null. */
-    public static boolean isValue(RedisMessage message) {
+    /** Returns whether the message is a bulk string other than null. */
+    public static boolean isNonNullBulkString(RedisMessage message) {
         return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull();
     }
 }
--- a/src/main/java/quotagateway/resp/RespFrameTracker.java
+++ b/src/main/java/quotagateway/resp/RespFrameTracker.java
@@ -5,11 +5,11 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.redis.RedisMessage;
 
-/** Counts the bytes that come in before they are decoded, as the decoder does not tell of part of a message. */
+/** Counts incoming bytes before they are decoded, as the decoder does not report incomplete messages. */
 public final class RespFrameTracker extends ChannelInboundHandlerAdapter {
     private long pendingBytes;
 
-    /** Bytes that have come and belong to no whole message yet. */
+    /** Returns the number of received bytes that belong to no complete message yet. */
     public long pendingBytes() {
         return pendingBytes;
     }
@@ -20,14 +20,17 @@
         ctx.fireChannelRead(message);
     }
 
-    /** A value was passed on as it came; an empty one stands for it in its message, and is counted there. */
+    /**
+     * Removes a large value from the count after its parts were forwarded; the empty value that replaces it in the
+     * message is counted with the message.
+     */
     void onLargeValue(int contentBytes) {
         pendingBytes -= RespLength.ofBulkString(contentBytes) - RespLength.ofBulkString(0);
     }
 
     /**
-     * Takes a whole message off the count; the owner of the connection calls it for each. A message that came in
-     * another than the shortest form leaves the difference in the count for good.
+     * Removes a complete message from the count; the owner of the connection calls this for each message. If a message
+     * was not encoded in its shortest form, the difference stays in the count permanently.
      */
     public void onMessageComplete(RedisMessage message) {
         pendingBytes -= RespLength.of(message);
--- a/src/main/java/quotagateway/resp/RespLength.java
+++ b/src/main/java/quotagateway/resp/RespLength.java
@@ -7,17 +7,17 @@
 import io.netty.handler.codec.redis.IntegerRedisMessage;
 import io.netty.handler.codec.redis.RedisMessage;
 
-/** How many bytes a message takes on the wire, in its shortest form. */
+/** Computes the encoded length of a message in its shortest form. */
 final class RespLength {
     private static final long LINE_END_BYTES = 2;
-    /** The type's mark in front of a line, and the line's end. */
+    /** The type byte at the start of a line, and the line end. */
     private static final long LINE_BYTES = 1 + LINE_END_BYTES;
-    /** An array or bulk string that is null, as "-1" on a line. */
+    /** A null array or null bulk string, which is a line with "-1". */
     private static final long NULL_BYTES = LINE_BYTES + 2;
 
     private RespLength() {}
 
-    /** The length of a whole message; 0 for one of a kind that the decoder does not make. */
+    /** Returns the length of a complete message, or 0 for a message type that the decoder does not produce. */
     static long of(RedisMessage message) {
         if (message instanceof ArrayRedisMessage array) {
             return ofArray(array);
@@ -37,19 +37,19 @@
         if (array.isNull()) {
             return NULL_BYTES;
         }
-        long length = LINE_BYTES + digits(array.children().size());
+        long length = LINE_BYTES + digitCount(array.children().size());
         for (RedisMessage child : array.children()) {
             length += of(child);
         }
         return length;
     }
 
-    /** The length of a bulk string with so many bytes of content. */
+    /** Returns the length of a bulk string with this number of content bytes. */
     static long ofBulkString(int contentBytes) {
-        return LINE_BYTES + digits(contentBytes) + contentBytes + LINE_END_BYTES;
+        return LINE_BYTES + digitCount(contentBytes) + contentBytes + LINE_END_BYTES;
     }
 
-    private static int digits(int size) {
+    private static int digitCount(int size) {
         return Integer.toString(size).length();
     }
 }
--- a/src/main/java/quotagateway/resp/ValueSizeLimiter.java
+++ b/src/main/java/quotagateway/resp/ValueSizeLimiter.java
@@ -11,29 +11,29 @@
 import io.netty.handler.codec.redis.LastBulkStringRedisContent;
 
 /**
- * Between the decoder and the aggregators: refuses headers that announce large values, as Netty's own bound is 512 MB a
- * value, and passes the one value that may be large on to its handler as it comes.
+ * Handler between the decoder and the aggregators. Rejects headers that announce large values, as Netty's own limit is
+ * 512 MB per value, and forwards the only value that may be large to its handler as it arrives.
  */
 final class ValueSizeLimiter extends ChannelInboundHandlerAdapter {
-    private final RespFrameTracker frames;
-    /** Null where no value may be large. */
+    private final RespFrameTracker frameTracker;
+    /** Null if no value may be large. */
     private final LargeValueHandler largeValues;
-    /** Elements of the current array that have come, and all of them. */
+    /** Number of elements of the current array that have been read. */
     private long elementsRead;
 
     private long arrayLength;
-    /** The length of the large value that is coming; 0 for none. */
+    /** Length of the large value that is being received; 0 for none. */
     private int largeValueBytes;
 
-    ValueSizeLimiter(RespFrameTracker frames, LargeValueHandler largeValues) {
-        this.frames = frames;
+    ValueSizeLimiter(RespFrameTracker frameTracker, LargeValueHandler largeValues) {
+        this.frameTracker = frameTracker;
         this.largeValues = largeValues;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (largeValueBytes > 0) {
-            passOn((BulkStringRedisContent) message);
+            forwardPart((BulkStringRedisContent) message);
             return;
         }
         if (message instanceof ArrayHeaderRedisMessage array) {
@@ -60,17 +60,18 @@
                 && elementsRead < arrayLength
                 && length <= RespCodec.MAX_VALUE_BYTES;
         if (!mayBeLarge || !largeValues.onValueStarted(length)) {
-            throw new CodecException("a value of more than " + RespCodec.MAX_BUFFERED_VALUE_BYTES);
+            throw new CodecException(
+                    "bulk string is longer than the buffer limit in bytes: " + RespCodec.MAX_BUFFERED_VALUE_BYTES);
         }
         elementsRead++;
         largeValueBytes = length;
         ctx.fireChannelRead(new FullBulkStringRedisMessage(Unpooled.EMPTY_BUFFER));
     }
 
-    private void passOn(BulkStringRedisContent part) {
+    private void forwardPart(BulkStringRedisContent part) {
         boolean last = part instanceof LastBulkStringRedisContent;
         if (last) {
-            frames.onLargeValue(largeValueBytes);
+            frameTracker.onLargeValue(largeValueBytes);
             largeValueBytes = 0;
         }
         largeValues.onValueContent(part.content(), last);
--- a/src/main/java/quotagateway/streaming/RequestBody.java
+++ b/src/main/java/quotagateway/streaming/RequestBody.java
@@ -6,21 +6,21 @@
 import quotagateway.resp.RespCodec;
 
 /**
- * A request's body that is too large to be held in memory, on its way from a client to an endpoint. Its first part is
- * buffered until an attempt takes it, and the rest is passed on as it comes. So there is one such attempt: once the
- * buffered part has been written to an endpoint, the request cannot be sent to another one.
+ * A request body that is too large to be held in memory and is streamed from a client to an endpoint. Its first part is
+ * buffered until an attempt takes the body; the rest is forwarded as it arrives. There is only one such attempt: once
+ * the buffered part has been written to an endpoint, the request cannot be sent to another one.
  */
 public final class RequestBody {
-    /** So much is buffered before an endpoint is looked for, and no more; a smaller body comes with its command. */
+    /** Most bytes buffered before an endpoint is chosen; a body up to this size is received as part of its command. */
     public static final int MAX_BUFFERED_BYTES = RespCodec.MAX_BUFFERED_VALUE_BYTES;
 
-    /** What becomes of the parts that come. */
+    /** What is done with incoming parts. */
     private enum State {
-        /** They are kept for the attempt to come. */
+        /** Parts are kept for the next attempt. */
         BUFFERING,
-        /** They go to the endpoint of the one attempt. */
+        /** Parts are written to the endpoint of the only attempt. */
         FORWARDING,
-        /** They are dropped. */
+        /** Parts are dropped. */
         DISCARDING
     }
 
@@ -35,10 +35,10 @@
     private boolean sinkWritable = true;
 
     /**
-     * A body of which nothing has come yet.
+     * Creates a body of which no part has arrived yet.
      *
-     * @param length in bytes
-     * @param now the loop's clock (ms)
+     * @param length length of the complete body in bytes
+     * @param now current time of the loop's clock (ms)
      * @param onReadingChanged run whenever {@link #wantsMore} may have changed
      */
     public RequestBody(int length, double now, Runnable onReadingChanged) {
@@ -47,12 +47,12 @@
         startedAtMs = now;
     }
 
-    /** The length of the whole body in bytes. */
+    /** Returns the length of the complete body in bytes. */
     public int length() {
         return length;
     }
 
-    /** Takes over the next part that has come from the client. */
+    /** Takes ownership of the next part that has arrived from the client. */
     public void append(ByteBuf part) {
         receivedBytes += part.readableBytes();
         switch (state) {
@@ -69,17 +69,17 @@
         }
     }
 
-    /** Whether the last byte has come from the client. */
+    /** Returns whether the last byte has arrived from the client. */
     public boolean isComplete() {
         return receivedBytes == length;
     }
 
-    /** Whether enough has come to look for an endpoint. */
+    /** Returns whether enough has arrived to choose an endpoint. */
     public boolean isReadyToForward() {
         return bufferedBytes >= MAX_BUFFERED_BYTES || isComplete();
     }
 
-    /** Whether more should be read from the client now. */
+    /** Returns whether more should be read from the client now. */
     public boolean wantsMore() {
         return switch (state) {
             case BUFFERING -> bufferedBytes < MAX_BUFFERED_BYTES;
@@ -88,17 +88,17 @@
         };
     }
 
-    /** How long (ms) the rest will take to come, at the pace so far. */
+    /** Estimates the time (ms) until the rest has arrived, from the average rate so far. */
     public double remainingMs(double now) {
         return receivedBytes == 0 ? 0 : (now - startedAtMs) / receivedBytes * (length - receivedBytes);
     }
 
-    /** Whether no attempt can have it whole any more: one has begun to take it, or it is discarded. */
+    /** Returns whether no attempt can get the complete body any more, as one has taken it or it was discarded. */
     public boolean isConsumed() {
         return state != State.BUFFERING;
     }
 
-    /** Writes what is buffered to an endpoint, and all that comes from now on. */
+    /** Writes the buffered parts to an endpoint, and later parts as they arrive. */
     public void forwardTo(RequestBodySink endpoint) {
         if (state != State.DISCARDING) {
             state = State.FORWARDING;
@@ -111,13 +111,13 @@
         onReadingChanged.run();
     }
 
-    /** The endpoint takes more, or no more for now. */
+    /** Called when the endpoint becomes able or unable to accept more. */
     public void setWritable(boolean writable) {
         sinkWritable = writable;
         onReadingChanged.run();
     }
 
-    /** Drops what has come, and what still comes: it is read, as the client's next command is behind it. */
+    /** Drops the buffered parts and all later ones, which are still read, as the client's next command follows them. */
     public void discard() {
         if (state != State.DISCARDING) {
             state = State.DISCARDING;
--- a/src/main/java/quotagateway/streaming/ResponseSink.java
+++ b/src/main/java/quotagateway/streaming/ResponseSink.java
@@ -2,14 +2,14 @@
 
 import io.netty.handler.codec.redis.RedisMessage;
 
-/** The place of a {@link StreamedResponse} among the responses that a client's connection owes. */
+/** The position of a {@link StreamedResponse} among the responses that a client's connection owes. */
 public interface ResponseSink {
-    /** Gives a whole response in the stream's place; nothing of the stream has been written. */
+    /** Replaces the stream, of which nothing has been written, by a complete response. */
     void respond(RedisMessage message);
 
-    /** The rest of the stream does not come: the client's connection is ended behind what was written. */
+    /** Closes the client's connection after what was written, as the rest of the stream will not arrive. */
     void abort();
 
-    /** The last byte of the stream has been written to the connection. */
+    /** Called when the last byte of the stream has been written to the connection. */
     void onStreamCompleted();
 }
--- a/src/main/java/quotagateway/streaming/ResponseSource.java
+++ b/src/main/java/quotagateway/streaming/ResponseSource.java
@@ -1,10 +1,10 @@
 package quotagateway.streaming;
 
-/** The connection to an endpoint that a {@link StreamedResponse} comes from. */
+/** The connection to an endpoint from which a {@link StreamedResponse} is read. */
 public interface ResponseSource {
-    /** Reads on from the endpoint, or no further for now. */
+    /** Resumes or pauses reading from the endpoint. */
     void setReading(boolean reading);
 
-    /** Nobody takes the rest of the stream: the connection is closed. */
+    /** Closes the connection, as the rest of the stream is not needed. */
     void stop();
 }
--- a/src/main/java/quotagateway/streaming/StreamedResponse.java
+++ b/src/main/java/quotagateway/streaming/StreamedResponse.java
@@ -14,50 +14,50 @@
 import quotagateway.transport.EventLoopContext;
 
 /**
- * A response that is too large to be held in memory, on its way from an endpoint to a client. What comes is written
- * on at once; the endpoint is read only while the client takes what is written.
+ * A response that is too large to be held in memory and is streamed from an endpoint to a client. Parts are written as
+ * they arrive; the endpoint is read only while the client's connection is writable.
  *
- * <p>A stream ends once, in one of three ways: it is written whole ({@code FULFILLED}), its source breaks off or it
- * stalls ({@code FAULTED}), or its client disconnects (no outcome, as nobody hears of it).
+ * <p>A stream ends once, in one of three ways: it is written completely ({@code FULFILLED}), its source fails or the
+ * stream stalls ({@code FAULTED}), or its client disconnects (no outcome, as no response reaches the client).
  */
 public final class StreamedResponse {
-    /** A stream ends if for so long (ms) no byte has come from the endpoint or none was taken by the client. */
+    /** Time (ms) without a byte from the endpoint or without a byte taken by the client after which a stream fails. */
     private static final double STALL_TIMEOUT_MS = 5000;
 
     private static final double STALL_CHECK_INTERVAL_MS = 500;
 
     private final EventLoopContext loop;
     private final ResponseSource source;
-    private final ResponseSink slot;
+    private final ResponseSink sink;
     private final Consumer<RequestOutcome> onEnded;
     private final int length;
-    /** What has come while responses before this one were not written yet. */
-    private final ArrayDeque<ByteBuf> earlyParts = new ArrayDeque<>();
+    /** Parts that arrived before all earlier responses were written. */
+    private final ArrayDeque<ByteBuf> bufferedParts = new ArrayDeque<>();
 
-    /** The client's connection; null until it is this response's turn. */
+    /** The client's connection; null until all earlier responses have been written. */
     private Channel client;
 
-    private boolean received;
+    private boolean fullyReceived;
     private boolean ended;
     private double lastProgressMs;
     private Future<?> stallCheck;
 
     /**
-     * A stream of which nothing has come but its length.
+     * Creates a stream of which only the length has arrived.
      *
-     * @param slot its place on the client's connection
-     * @param length in bytes
-     * @param onEnded told how it has ended, null for a client that has disconnected
+     * @param sink the position of the response on the client's connection
+     * @param length length of the response in bytes
+     * @param onEnded called with the outcome when the stream ends, with null if the client has disconnected
      */
     public StreamedResponse(
             EventLoopContext loop,
             ResponseSource source,
-            ResponseSink slot,
+            ResponseSink sink,
             int length,
             Consumer<RequestOutcome> onEnded) {
         this.loop = loop;
         this.source = source;
-        this.slot = slot;
+        this.sink = sink;
         this.onEnded = onEnded;
         this.length = length;
         lastProgressMs = loop.now();
@@ -74,43 +74,43 @@
 
     // ---- from the endpoint ----
 
-    /** Takes over the next part. */
+    /** Takes ownership of the next part. */
     public void append(ByteBuf part, boolean last) {
         if (ended) {
             part.release();
             return;
         }
         lastProgressMs = loop.now();
-        received = last;
+        fullyReceived = last;
         if (client == null) {
-            earlyParts.add(part);
+            bufferedParts.add(part);
         } else {
             write(part, last);
         }
         updateReading();
         if (last) {
-            source.setReading(true); // what follows on that connection is not for the client
+            source.setReading(true); // later input on that connection does not belong to this stream
         }
     }
 
-    /** The rest does not come: the endpoint's connection has ended, or cannot be read any more. */
+    /** Called when the rest will not arrive, as the endpoint's connection has ended or its input is malformed. */
     public void onSourceFailed() {
-        if (ended || received) {
+        if (ended || fullyReceived) {
             return;
         }
         boolean writingStarted = client != null;
         end(RequestOutcome.FAULTED);
         source.stop();
         if (writingStarted) {
-            slot.abort();
+            sink.abort();
         } else {
-            slot.respond(new ErrorRedisMessage("ERR failed"));
+            sink.respond(new ErrorRedisMessage("ERR failed"));
         }
     }
 
     // ---- from the client's connection ----
 
-    /** All responses before this one have been written to the client; further calls change nothing. */
+    /** Called when all responses before this one have been written to the client; further calls have no effect. */
     public void startWriting(Channel channel) {
         if (client != null || ended) {
             return;
@@ -119,16 +119,16 @@
         lastProgressMs = loop.now();
         client.write(new BulkStringHeaderRedisMessage(length), client.voidPromise());
         loop.flushLater(client);
-        while (!earlyParts.isEmpty()) {
-            ByteBuf part = earlyParts.poll();
-            write(part, received && earlyParts.isEmpty());
+        while (!bufferedParts.isEmpty()) {
+            ByteBuf part = bufferedParts.poll();
+            write(part, fullyReceived && bufferedParts.isEmpty());
         }
         updateReading();
     }
 
-    /** Has the endpoint read on while the client takes what is written, and not otherwise. */
+    /** Reads from the endpoint while the client's connection is writable, and pauses reading otherwise. */
     public void updateReading() {
-        if (!ended && !received) {
+        if (!ended && !fullyReceived) {
             boolean writable = client != null && client.isWritable();
             if (writable) {
                 lastProgressMs = loop.now();
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Nobody waits for the rest any more. */
+    /** Called when the client has disconnected, so that the rest is not needed. */
     public void onClientDisconnected() {
         if (!ended) {
             end(null);
@@ -154,7 +154,7 @@
                     end(RequestOutcome.FULFILLED);
                 }
             });
-            slot.onStreamCompleted();
+            sink.onStreamCompleted();
         }
         loop.flushLater(client);
     }
@@ -163,8 +163,8 @@
         if (!ended) {
             ended = true;
             stallCheck.cancel(false);
-            earlyParts.forEach(ReferenceCountUtil::release);
-            earlyParts.clear();
+            bufferedParts.forEach(ReferenceCountUtil::release);
+            bufferedParts.clear();
             onEnded.accept(outcome);
         }
     }
--- a/src/main/java/quotagateway/upstream/EndpointReplyParser.java
+++ b/src/main/java/quotagateway/upstream/EndpointReplyParser.java
@@ -32,7 +32,7 @@
         if (message instanceof ArrayRedisMessage array
                 && !array.isNull()
                 && array.children().size() == RESPONSE_PARTS
-                && RespCodec.isValue(array.children().get(VALUE_INDEX))) {
+                && RespCodec.isNonNullBulkString(array.children().get(VALUE_INDEX))) {
             List<RedisMessage> parts = array.children();
             double[] load = loadReports.parse(RespCodec.text(parts.get(LOAD_INDEX)));
             return new EndpointReply(CallOutcome.OK, parts.get(VALUE_INDEX), load);
@@ -45,7 +45,7 @@
         if (message instanceof ErrorRedisMessage error) {
             return parseError(error.content());
         }
-        return RespCodec.isValue(message)
+        return RespCodec.isNonNullBulkString(message)
                 ? new EndpointReply(CallOutcome.OK, null, loadReports.parse(RespCodec.text(message)))
                 : null;
     }
--- a/src/test/java/quotagateway/client/ClientCommandTest.java
+++ b/src/test/java/quotagateway/client/ClientCommandTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void attributesAreReadInAnyOrderAndUnknownOnesLeftAlone() {
+    void attributesAreParsedInAnyOrderAndUnknownOnesIgnored() {
         ClientCommand command = parse("CALL.GET", CUSTOMER, "id", "x=1,units=2,c=read,d=12.5,t=p,spread=3,first=1,r=1");
         assertEquals(CUSTOMER, command.customer());
         assertEquals("id", command.id());
@@ -89,14 +89,14 @@
                 "CALL.GET; 00000002deadbeef; c=read,t=p,d=5; customer or id is malformed",
                 "CALL.GET; 0000001DEADBEEF0; c=read,t=p,d=5; customer or id is malformed"
             })
-    void malformedCommandIsRefusedWithItsProblem(String verb, String customer, String attributes, String problem) {
-        MalformedCommandException refused =
+    void malformedCommandIsRejectedWithItsError(String verb, String customer, String attributes, String errorText) {
+        MalformedCommandException rejection =
                 assertThrows(MalformedCommandException.class, () -> parse(verb, customer, "id", attributes));
-        assertEquals(problem, refused.getMessage());
+        assertEquals(errorText, rejection.getMessage());
     }
 
     @Test
-    void commandsOfAnotherShapeAreRefused() {
+    void commandsWithWrongArgumentsAreRejected() {
         assertEquals(
                 "wrong number of arguments",
                 assertThrows(MalformedCommandException.class, () -> parse("CALL.GET", CUSTOMER, "id"))
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void endpointGetsTheCommandWithWhatIsLeftOfTheTimeout() {
+    void commandForEndpointHasTheRemainingTimeout() {
         ArrayRedisMessage command =
                 RespCodec.command(ALLOCATOR, "CALL.POST", CUSTOMER, "id", "c=write,d=500,t=p,k=1", "body");
         ClientCommand parsed = ClientCommand.parse(command, settings);
--- a/src/test/java/quotagateway/client/ClientSide.java
+++ b/src/test/java/quotagateway/client/ClientConnectionFixture.java
@@ -9,11 +9,11 @@
 import quotagateway.streaming.RequestBody;
 import quotagateway.transport.ManualEventLoop;
 
-/** Client connections in memory, and a handler of their requests that leaves the responses to the test. */
-final class ClientSide implements ClientRequestHandler {
+/** In-memory client connections, with a request handler that leaves the responses to the test. */
+final class ClientConnectionFixture implements ClientRequestHandler {
     static final String REQUEST = "*4\r\n$8\r\nCALL.GET\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n";
 
-    /** A request that fails when the connection becomes unreadable. */
+    /** A request that fails when the input of its connection is malformed. */
     final class Request implements ClientRequest {
         final ResponseSlot slot;
         final RequestBody body;
@@ -34,9 +34,9 @@
             fail("failed");
         }
 
-        void fail(String problem) {
+        void fail(String errorText) {
             slot.detachRequest();
-            slot.respond(new ErrorRedisMessage("ERR " + problem));
+            slot.respond(new ErrorRedisMessage("ERR " + errorText));
             loop.flush();
         }
     }
@@ -45,19 +45,19 @@
     final ConnectionTable table;
     final List<Request> requests = new ArrayList<>();
     final List<CloseReason> closed = new ArrayList<>();
-    /** What the handler says of the next commands; null where it takes them. */
-    String problem;
+    /** Error text with which the handler rejects commands; null if it accepts them. */
+    String errorText;
 
     boolean memoryExhausted;
     private final ListenerContext context;
     private long connectionCount;
 
-    ClientSide(int limit) {
+    ClientConnectionFixture(int limit) {
         table = new ConnectionTable(loop, limit);
         context = new ListenerContext(loop, this, table, new ReadAheadBudget(loop), () -> {});
     }
 
-    /** A new connection of a client. */
+    /** Opens a client connection. */
     EmbeddedDuplexChannel connect() {
         EmbeddedDuplexChannel channel = new EmbeddedDuplexChannel();
         ClientConnection connection = new ClientConnection(channel, ++connectionCount, context, 0);
@@ -68,12 +68,12 @@
 
     @Override
     public String acceptCommand(ResponseSlot slot, ArrayRedisMessage command, RequestBody body, double receivedAtMs) {
-        if (problem == null) {
+        if (errorText == null) {
             Request request = new Request(slot, body);
             slot.attachRequest(request);
             requests.add(request);
         }
-        return problem;
+        return errorText;
     }
 
     @Override
--- a/src/test/java/quotagateway/client/ClientConnectionTest.java
+++ b/src/test/java/quotagateway/client/ClientConnectionTest.java
@@ -11,17 +11,17 @@
 import quotagateway.resp.RespCodec;
 
 class ClientConnectionTest {
-    private static final int LARGE = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1000;
+    private static final int LARGE_BODY_BYTES = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1000;
     private static final String LARGE_REQUEST =
-            "*5\r\n$9\r\nCALL.POST\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n$" + LARGE + "\r\n";
+            "*5\r\n$9\r\nCALL.POST\r\n$1\r\nc\r\n$1\r\ni\r\n$1\r\na\r\n$" + LARGE_BODY_BYTES + "\r\n";
     private static final int LINGER_MS = 200;
 
-    private final ClientSide clients = new ClientSide(10);
+    private final ClientConnectionFixture clients = new ClientConnectionFixture(10);
     private final EmbeddedDuplexChannel channel = clients.connect();
 
     @Test
     void responsesAreWrittenInTheOrderOfTheCommands() {
-        channel.receive(ClientSide.REQUEST + ClientSide.REQUEST + "*1\r\n$4\r\nPING\r\n");
+        channel.receive(ClientConnectionFixture.REQUEST + ClientConnectionFixture.REQUEST + "*1\r\n$4\r\nPING\r\n");
         clients.requests.get(1).fail("second");
         assertEquals("", channel.sent());
         clients.requests.get(0).fail("first");
@@ -29,22 +29,22 @@
     }
 
     @Test
-    void refusedCommandIsAnsweredWithItsProblem() {
-        clients.problem = "a number is malformed";
-        channel.receive(ClientSide.REQUEST);
+    void rejectedCommandIsAnsweredWithItsError() {
+        clients.errorText = "a number is malformed";
+        channel.receive(ClientConnectionFixture.REQUEST);
         assertEquals("-ERR a number is malformed\r\n", channel.sent());
         assertTrue(channel.isOpen());
     }
 
     @Test
-    void unknownCommandsAndBareMessagesAreAnsweredWithAnError() {
+    void unknownCommandsAndOtherMessagesAreAnsweredWithAnError() {
         channel.receive("*1\r\n$3\r\nGET\r\n+hello\r\n*0\r\n");
         assertEquals("-ERR unknown command\r\n-ERR a command expected\r\n-ERR a command expected\r\n", channel.sent());
     }
 
     @Test
-    void unreadableInputFailsOpenRequestsAndEndsTheConnection() {
-        channel.receive(ClientSide.REQUEST);
+    void malformedInputFailsOpenRequestsAndClosesTheConnection() {
+        channel.receive(ClientConnectionFixture.REQUEST);
         channel.receive("*4\r\n$99999999\r\n");
         assertEquals("-ERR failed\r\n-ERR malformed\r\n", channel.sent());
         assertTrue(channel.isOutputShutdown());
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void commandsAreHeldBackWhileTooMuchIsBufferedForAll() {
+    void commandsAreHeldBackWhileMemoryIsExhausted() {
         clients.memoryExhausted = true;
-        channel.receive(ClientSide.REQUEST);
-        channel.receive(ClientSide.REQUEST);
+        channel.receive(ClientConnectionFixture.REQUEST);
+        channel.receive(ClientConnectionFixture.REQUEST);
         assertEquals(1, clients.requests.size());
         clients.memoryExhausted = false;
         clients.table.resumeReading();
@@ -67,22 +67,22 @@
     }
 
     @Test
-    void shutdownEndsTheConnectionBehindItsLastResponse() {
-        channel.receive(ClientSide.REQUEST);
+    void shutdownClosesTheConnectionAfterItsLastResponse() {
+        channel.receive(ClientConnectionFixture.REQUEST);
         clients.table.closeAfterResponses();
         assertFalse(channel.isOutputShutdown());
         clients.requests.get(0).fail("failed");
         assertEquals("-ERR failed\r\n", channel.sent());
         assertTrue(channel.isOutputShutdown());
-        channel.receive(ClientSide.REQUEST);
+        channel.receive(ClientConnectionFixture.REQUEST);
         assertEquals(1, clients.requests.size());
         channel.close();
         assertEquals(List.of(CloseReason.SHUTDOWN_ANSWERED), clients.closed);
     }
 
     @Test
-    void disconnectIsToldToOpenRequestsAlone() {
-        channel.receive(ClientSide.REQUEST + ClientSide.REQUEST);
+    void disconnectNotifiesOnlyOpenRequests() {
+        channel.receive(ClientConnectionFixture.REQUEST + ClientConnectionFixture.REQUEST);
         clients.requests.get(0).fail("failed");
         channel.close();
         assertFalse(clients.requests.get(0).clientDisconnected);
@@ -92,24 +92,25 @@
     }
 
     @Test
-    void commandWithLargeBodyIsTakenOnceEnoughIsBuffered() {
+    void commandWithLargeBodyIsSubmittedOnceEnoughIsBuffered() {
         channel.receive(LARGE_REQUEST);
         channel.receive("x".repeat(RespCodec.MAX_BUFFERED_VALUE_BYTES - 1));
         assertEquals(0, clients.requests.size());
         channel.receive("x");
         assertEquals(1, clients.requests.size());
-        assertEquals(LARGE, clients.requests.get(0).body.length());
+        assertEquals(LARGE_BODY_BYTES, clients.requests.get(0).body.length());
         assertFalse(clients.requests.get(0).body.isComplete());
     }
 
     @Test
-    void largeBodyOfAnAnsweredRequestIsDroppedAndTheNextCommandTaken() {
-        clients.problem = "d is out of range";
+    void largeBodyOfAnAnsweredRequestIsDroppedAndTheNextCommandAccepted() {
+        clients.errorText = "d is out of range";
         channel.receive(LARGE_REQUEST);
         channel.receive("x".repeat(RespCodec.MAX_BUFFERED_VALUE_BYTES));
         assertEquals("-ERR d is out of range\r\n", channel.sent());
-        clients.problem = null;
-        channel.receive("x".repeat(LARGE - RespCodec.MAX_BUFFERED_VALUE_BYTES) + "\r\n" + ClientSide.REQUEST);
+        clients.errorText = null;
+        channel.receive("x".repeat(LARGE_BODY_BYTES - RespCodec.MAX_BUFFERED_VALUE_BYTES) + "\r\n"
+                + ClientConnectionFixture.REQUEST);
         assertEquals(1, clients.requests.size());
         assertNull(clients.requests.get(0).body);
     }
--- a/src/test/java/quotagateway/client/ConnectionTableTest.java
+++ b/src/test/java/quotagateway/client/ConnectionTableTest.java
@@ -12,9 +12,9 @@
     private static final String PING = "*1\r\n$4\r\nPING\r\n";
     private static final double EVICTABLE_AFTER_MS = 500;
 
-    private final ClientSide clients = new ClientSide(1);
+    private final ClientConnectionFixture clients = new ClientConnectionFixture(1);
 
-    private EmbeddedDuplexChannel connected(String input) {
+    private EmbeddedDuplexChannel connectAndSend(String input) {
         EmbeddedDuplexChannel channel = clients.connect();
         channel.receive(input);
         channel.sent();
@@ -23,7 +23,7 @@
 
     @Test
     void silentConnectionIsEvictedBeforeAnIdleOne() {
-        EmbeddedDuplexChannel idle = connected(PING);
+        EmbeddedDuplexChannel idle = connectAndSend(PING);
         EmbeddedDuplexChannel silent = clients.connect();
         clients.loop.advance(EVICTABLE_AFTER_MS + 1);
         clients.table.evictBeyondLimit();
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void newConnectionIsNotEvictedBeforeItsClientHadTheTimeToAsk() {
-        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST);
+    void newConnectionIsNotEvictedBeforeItsTimeForAFirstCommandIsOver() {
+        EmbeddedDuplexChannel busy = connectAndSend(ClientConnectionFixture.REQUEST);
         EmbeddedDuplexChannel fresh = clients.connect();
         clients.loop.advance(EVICTABLE_AFTER_MS);
         clients.table.evictBeyondLimit();
@@ -43,10 +43,10 @@
     }
 
     @Test
-    void connectionIdleForLongestIsEvictedAndOneWithARequestIsNot() {
-        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST);
-        EmbeddedDuplexChannel usedAgain = connected(PING);
-        EmbeddedDuplexChannel idle = connected(PING);
+    void longestIdleConnectionIsEvictedAndOneWithAnOpenRequestIsNot() {
+        EmbeddedDuplexChannel busy = connectAndSend(ClientConnectionFixture.REQUEST);
+        EmbeddedDuplexChannel usedAgain = connectAndSend(PING);
+        EmbeddedDuplexChannel idle = connectAndSend(PING);
         usedAgain.receive(PING);
         clients.table.setLimit(2);
         clients.table.evictBeyondLimit();
@@ -56,58 +56,58 @@
     }
 
     @Test
-    void begunFirstCommandIsEvictedLast() {
-        EmbeddedDuplexChannel begun = connected("*4\r\n");
-        EmbeddedDuplexChannel idle = connected(PING);
+    void connectionWithPartialFirstCommandIsEvictedLast() {
+        EmbeddedDuplexChannel partial = connectAndSend("*4\r\n");
+        EmbeddedDuplexChannel idle = connectAndSend(PING);
         clients.loop.advance(EVICTABLE_AFTER_MS + 1);
         clients.table.evictBeyondLimit();
         assertTrue(idle.isOutputShutdown());
-        assertFalse(begun.isOutputShutdown());
+        assertFalse(partial.isOutputShutdown());
         clients.table.setLimit(0);
         clients.table.evictBeyondLimit();
-        assertTrue(begun.isOutputShutdown());
-        begun.close();
+        assertTrue(partial.isOutputShutdown());
+        partial.close();
         assertTrue(clients.closed.contains(CloseReason.EVICTED));
     }
 
     @Test
-    void clientThatSendsNoWholeCommandIsToldSoAndEnded() {
+    void overdueCommandIsAnsweredWithAnError() {
         EmbeddedDuplexChannel silent = clients.connect();
-        EmbeddedDuplexChannel begun = connected("*4\r\n");
-        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST + "*4\r\n");
+        EmbeddedDuplexChannel partial = connectAndSend("*4\r\n");
+        EmbeddedDuplexChannel busy = connectAndSend(ClientConnectionFixture.REQUEST + "*4\r\n");
         clients.loop.advance(2500);
         clients.table.rejectOverdueCommands();
         assertEquals("", silent.sent());
         clients.loop.advance(1);
         clients.table.rejectOverdueCommands();
         assertEquals("-ERR no whole command came\r\n", silent.sent());
-        assertEquals("-ERR no whole command came\r\n", begun.sent());
+        assertEquals("-ERR no whole command came\r\n", partial.sent());
         assertEquals("", busy.sent());
     }
 
     @Test
-    void shutdownEndsIdleConnectionsAndWaitsForAFirstCommand() {
-        EmbeddedDuplexChannel idle = connected(PING);
+    void shutdownClosesIdleConnectionsAndWaitsForAFirstCommand() {
+        EmbeddedDuplexChannel idle = connectAndSend(PING);
         EmbeddedDuplexChannel fresh = clients.connect();
-        EmbeddedDuplexChannel begun = connected(PING + "*4\r\n");
+        EmbeddedDuplexChannel partial = connectAndSend(PING + "*4\r\n");
         clients.table.closeIdle();
         clients.loop.advance(10);
         assertTrue(idle.isOutputShutdown());
         assertFalse(fresh.isOutputShutdown());
         clients.loop.advance(1100);
         assertTrue(fresh.isOutputShutdown());
-        assertFalse(begun.isOutputShutdown());
+        assertFalse(partial.isOutputShutdown());
         idle.close();
         assertEquals(List.of(CloseReason.SHUTDOWN_IDLE), clients.closed);
     }
 
     @Test
-    void endOfTheProcessIsToldToAClientWithHalfACommand() {
-        EmbeddedDuplexChannel begun = connected("*4\r\n");
-        EmbeddedDuplexChannel busy = connected(ClientSide.REQUEST + "*4\r\n");
-        EmbeddedDuplexChannel idle = connected(PING);
+    void partialCommandIsAnsweredWithAnErrorWhenTheProcessExits() {
+        EmbeddedDuplexChannel partial = connectAndSend("*4\r\n");
+        EmbeddedDuplexChannel busy = connectAndSend(ClientConnectionFixture.REQUEST + "*4\r\n");
+        EmbeddedDuplexChannel idle = connectAndSend(PING);
         clients.table.closeAll();
-        assertEquals("-ERR the edge node ends\r\n", begun.sent());
+        assertEquals("-ERR the edge node ends\r\n", partial.sent());
         assertTrue(idle.isOutputShutdown());
         assertFalse(busy.isOutputShutdown());
         assertFalse(clients.table.isEmpty());
--- a/src/test/java/quotagateway/client/EmbeddedDuplexChannel.java
+++ b/src/test/java/quotagateway/client/EmbeddedDuplexChannel.java
@@ -9,16 +9,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** A client's connection in memory, of which either side can be shut down. */
+/** An in-memory client connection whose output can be shut down separately. */
 final class EmbeddedDuplexChannel extends EmbeddedChannel implements DuplexChannel {
     private boolean outputShutDown;
 
-    /** Has a client send text, and the gateway read it. */
+    /** Simulates a client that sends the text, which the gateway reads. */
     void receive(String text) {
         writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    /** What the gateway has sent since the last call. */
+    /** Returns what the gateway has sent since the last call. */
     String sent() {
         StringBuilder text = new StringBuilder();
         for (ByteBuf part = readOutbound(); part != null; part = readOutbound()) {
@@ -28,7 +28,7 @@
         return text.toString();
     }
 
-    /** Moves the time of tasks on the channel's own loop on. */
+    /** Advances the time of the channel's own event loop, and runs the tasks that are due. */
     void advance(long ms) {
         advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         runPendingTasks();
--- a/src/test/java/quotagateway/client/ReadAheadTest.java
+++ b/src/test/java/quotagateway/client/ReadAheadTest.java
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void whatIsReadIsPassedOnInALaterRound() {
-        // not through the channel's pipeline, which runs the next round at once
+    void inputIsForwardedInALaterLoopIteration() {
+        // bypasses the pipeline, as EmbeddedChannel runs the next loop iteration immediately
         ChannelHandlerContext context = channel.pipeline().context(readAhead);
         readAhead.channelRead(context, bytes(10));
         readAhead.channelReadComplete(context);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void connectionHeldBackIsReadUpToItsBoundAndOnAfterIt() {
+    void heldBackConnectionIsReadUpToItsLimitAndResumed() {
         readAhead.holdBack();
         channel.writeInbound(bytes(Transport.readAheadBytes() - 1));
         assertTrue(channel.config().isAutoRead());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void sharedBudgetStopsConnectionsThatAreHeldBackUntilItHasCapacity() {
+    void exhaustedBudgetPausesHeldBackConnectionsUntilItHasCapacity() {
         EmbeddedChannel running = new EmbeddedChannel(new ReadAhead(loop, budget, 0));
         budget.add(BUDGET_BYTES);
         readAhead.holdBack();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void shutDownDropsWhatIsBufferedAndReadsNoMore() {
+    void shutDownDropsBufferedInputAndStopsReading() {
         ByteBuf buffered = bytes(BUDGET_BYTES);
         ByteBuf late = bytes(1);
         readAhead.holdBack();
--- a/src/test/java/quotagateway/resp/RespCodecTest.java
+++ b/src/test/java/quotagateway/resp/RespCodecTest.java
@@ -32,8 +32,8 @@
         channel.finishAndReleaseAll();
     }
 
-    /** Takes the element of index 1, and counts its bytes. */
-    private final class Counting implements LargeValueHandler {
+    /** Accepts a large element at index 1, and counts its bytes. */
+    private final class CountingHandler implements LargeValueHandler {
         @Override
         public int argumentIndex() {
             return 1;
@@ -55,7 +55,7 @@
         }
     }
 
-    private void read(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
@@ -77,39 +77,39 @@
                 "*-1\r\n",
                 "*3\r\n$10\r\n0123456789\r\n$-1\r\n*1\r\n:5\r\n"
             })
-    void messageInPiecesOfOneByteIsPendingToItsLastByteAndThenCountsNothing(String text) {
-        RespFrameTracker frames = RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS);
+    void messageReceivedByteByByteIsPendingUntilItIsComplete(String text) {
+        RespFrameTracker frameTracker = RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i++) {
             assertNull(channel.readInbound());
-            assertEquals(i, frames.pendingBytes());
+            assertEquals(i, frameTracker.pendingBytes());
             channel.writeInbound(Unpooled.copiedBuffer(bytes, i, 1));
         }
         RedisMessage message = channel.readInbound();
-        frames.onMessageComplete(message);
-        assertEquals(0, frames.pendingBytes());
+        frameTracker.onMessageComplete(message);
+        assertEquals(0, frameTracker.pendingBytes());
         ReferenceCountUtil.release(message);
     }
 
     @Test
     void largeValueGoesToItsHandlerAndIsEmptyInTheMessage() {
-        RespFrameTracker frames = RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS, new Counting());
+        RespFrameTracker frameTracker = RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS, new CountingHandler());
         int length = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1;
-        read("*3\r\n" + bulk("CALL") + "$" + length + "\r\n" + "x".repeat(length - 1));
+        receive("*3\r\n" + bulk("CALL") + "$" + length + "\r\n" + "x".repeat(length - 1));
         assertEquals(List.of("started " + length), events);
-        read("x\r\n" + bulk("end"));
+        receive("x\r\n" + bulk("end"));
         assertEquals(List.of("started " + length, "ended"), events);
         assertEquals(length, largeBytes);
         ArrayRedisMessage message = channel.readInbound();
         assertEquals("", RespCodec.text(message.children().get(1)));
         assertEquals("end", RespCodec.text(message.children().get(2)));
-        frames.onMessageComplete(message);
-        assertEquals(0, frames.pendingBytes());
+        frameTracker.onMessageComplete(message);
+        assertEquals(0, frameTracker.pendingBytes());
         ReferenceCountUtil.release(message);
     }
 
     @Test
-    void largeValueIsAnErrorInAnyOtherPlace() {
+    void largeValueIsRejectedAtAnyOtherPosition() {
         int length = RespCodec.MAX_BUFFERED_VALUE_BYTES + 1;
         for (String text : List.of(
                 "$" + length + "\r\n",
@@ -117,26 +117,26 @@
                 "*3\r\n" + bulk("a") + bulk("b") + "$" + length + "\r\n",
                 "*2\r\n" + bulk("a") + "$" + (RespCodec.MAX_VALUE_BYTES + 1) + "\r\n")) {
             EmbeddedChannel fresh = new EmbeddedChannel();
-            RespCodec.addHandlers(fresh.pipeline(), MAX_ELEMENTS, new Counting());
+            RespCodec.addHandlers(fresh.pipeline(), MAX_ELEMENTS, new CountingHandler());
             assertThrows(
                     CodecException.class,
                     () -> fresh.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII)));
-            fresh.close(); // with part of an array, which finishing would throw for
+            fresh.close(); // not finish(), which throws for an incomplete array
             fresh.releaseInbound();
         }
         assertEquals(List.of(), events);
     }
 
     @Test
-    void largeValueIsAnErrorWithoutAHandler() {
+    void largeValueIsRejectedWithoutAHandler() {
         RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS);
-        assertThrows(CodecException.class, () -> read("$" + (RespCodec.MAX_BUFFERED_VALUE_BYTES + 1) + "\r\n"));
+        assertThrows(CodecException.class, () -> receive("$" + (RespCodec.MAX_BUFFERED_VALUE_BYTES + 1) + "\r\n"));
     }
 
     @Test
-    void arrayBeyondItsBoundIsAnError() {
+    void arrayWithTooManyElementsIsRejected() {
         RespCodec.addHandlers(channel.pipeline(), MAX_ELEMENTS);
-        assertThrows(CodecException.class, () -> read("*" + (MAX_ELEMENTS + 1) + "\r\n"));
+        assertThrows(CodecException.class, () -> receive("*" + (MAX_ELEMENTS + 1) + "\r\n"));
     }
 
     @Test
--- a/src/test/java/quotagateway/streaming/RequestBodyTest.java
+++ b/src/test/java/quotagateway/streaming/RequestBodyTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void bufferedPartsAreForwardedBeforeThoseThatFollow() {
+    void bufferedPartsAreForwardedBeforeLaterOnes() {
         body.append(bytes(RequestBody.MAX_BUFFERED_BYTES));
         assertFalse(body.isConsumed());
         body.forwardTo(this::write);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void discardedBodyIsReadOnAndDropped() {
+    void discardedBodyIsStillReadAndDropped() {
         ByteBuf buffered = bytes(100);
         ByteBuf late = bytes(100);
         body.append(buffered);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void remainingTimeFollowsThePaceSoFar() {
+    void remainingTimeIsEstimatedFromTheAverageRate() {
         assertEquals(0, body.remainingMs(1500));
         body.append(bytes(LENGTH / 4));
         assertEquals(300, body.remainingMs(1100), 1e-9);
--- a/src/test/java/quotagateway/streaming/StreamedResponseTest.java
+++ b/src/test/java/quotagateway/streaming/StreamedResponseTest.java
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void endpointIsReadNoFurtherUntilItIsTheResponsesTurn() {
+    void readingIsPausedUntilEarlierResponsesAreWritten() {
         stream.append(bytes("abc"), false);
         assertFalse(reading);
         stream.startWriting(client);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void streamThatBreaksOffBeforeItsTurnIsAnsweredWithAnError() {
+    void streamThatFailsBeforeWritingIsAnsweredWithAnError() {
         ByteBuf early = bytes("abc");
         stream.append(early, false);
         stream.onSourceFailed();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void streamThatBreaksOffMidwayEndsTheClientsConnection() {
+    void streamThatFailsMidwayClosesTheClientsConnection() {
         stream.startWriting(client);
         stream.append(bytes("abc"), false);
         stream.onSourceFailed();
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void streamWithoutProgressIsEnded() {
+    void stalledStreamFails() {
         stream.startWriting(client);
         loop.advance(4900);
         stream.append(bytes("abc"), false);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void disconnectOfTheClientStopsTheSourceWithoutAnOutcome() {
+    void clientDisconnectStopsTheSourceWithoutAnOutcome() {
         stream.append(bytes("abc"), false);
         stream.onClientDisconnected();
         ByteBuf late = bytes("def");
