--- a/src/main/java/quotagateway/client/ClosingSequence.java
+++ b/src/main/java/quotagateway/client/ClosingSequence.java
@@ -79,7 +79,10 @@
         });
     }
 
-    /** Closes the connection if the number of unsent bytes has not fallen; otherwise checks again later. */
+    /**
+     * Closes the connection if the number of unsent bytes has not fallen since the previous check, which found {@code
+     * previousUnsent}; otherwise checks again after {@link #UNREAD_TIMEOUT_MS}, unless the connection has ended.
+     */
     private void closeIfStalled(long previousUnsent) {
         long unsent = unsentBytes();
         if (unsent >= previousUnsent) {
--- a/src/main/java/quotagateway/client/LargeBodyReceiver.java
+++ b/src/main/java/quotagateway/client/LargeBodyReceiver.java
@@ -9,8 +9,9 @@
 
 /**
  * Receives the large body of a command on one connection. The command arrives before its body, and is kept here until
- * enough of the body is buffered to choose an endpoint. A body whose command was answered without it is read and
- * dropped.
+ * {@link RequestBody#MAX_BUFFERED_BYTES} or the complete body is buffered, or the buffers of all requests are full. The
+ * command is then submitted, so that an endpoint can be chosen, to which the rest of the body is forwarded as it
+ * arrives. A body whose command was answered without it is read and dropped.
  */
 final class LargeBodyReceiver implements LargeValueHandler {
     private final ClientConnection connection;
--- a/src/main/java/quotagateway/node/ActiveRequest.java
+++ b/src/main/java/quotagateway/node/ActiveRequest.java
@@ -123,9 +123,10 @@
     }
 
     /**
-     * Completes the request: events of its client's connection no longer reach it, and the part of its body that has
-     * not been sent is never sent. The deadline stays only while attempts are in flight, to time them out. Called once,
-     * by {@link RequestTable}.
+     * Marks the request as completed, as its client needs nothing more from it: events of the client's connection no
+     * longer reach the request, and the part of the request body that has not been sent is never sent. The deadline
+     * stays only while attempts are in flight, to time them out. {@link RequestTable} calls this method, and only once
+     * for each request.
      */
     void complete(double now) {
         completedAtMs = now;
--- a/src/main/java/quotagateway/node/LifecycleGuard.java
+++ b/src/main/java/quotagateway/node/LifecycleGuard.java
@@ -47,7 +47,10 @@
     private static final double MAX_NODE_STALL_MS = 150;
     /** How late (ms) a response may be without a violation: up to this delay it is only worthless to the client. */
     private static final double MAX_RESPONSE_DELAY_MS = 500;
-    /** An attempt that begins more than this (ms) after its client has disconnected counts as a lost request. */
+    /**
+     * An attempt that is written more than this (ms) after its request was completed, for example because the client
+     * has disconnected, counts as a lost request: an endpoint may execute it, but no client gets its response.
+     */
     private static final double MAX_SEND_DELAY_MS = 100;
 
     /** Is notified of each violation of an invariant. */
--- a/src/main/java/quotagateway/node/PolicyActionExecutor.java
+++ b/src/main/java/quotagateway/node/PolicyActionExecutor.java
@@ -12,7 +12,7 @@
  * effect. Outcomes are reported to the policy after the event that led to the action, never during it.
  */
 final class PolicyActionExecutor implements PolicyActions {
-    /** Delay (ms) after which a timer on which the policy failed fires again. */
+    /** Delay (ms) after which a timer fires again if the policy threw an exception while it handled the timer. */
     private static final double FAILED_TIMER_RETRY_MS = 20;
 
     private final EventLoopContext loop;
--- a/src/main/java/quotagateway/node/ShutdownDeadline.java
+++ b/src/main/java/quotagateway/node/ShutdownDeadline.java
@@ -8,7 +8,10 @@
  * 0.7 s. SIGKILL may come exactly then.
  */
 final class ShutdownDeadline {
-    /** Time (ms) from the end of the longest deadline to the earliest SIGKILL. */
+    /**
+     * Time (ms) from the longest deadline of any request class, counted from SIGTERM, to the earliest SIGKILL. Both
+     * signals are sent from outside the gateway.
+     */
     private static final double KILL_AFTER_DEADLINE_MS = 700;
     /** A longer deadline is counted as this (ms). */
     private static final double MAX_COUNTED_DEADLINE_MS = 3000;
--- a/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
+++ b/src/main/java/quotagateway/policy/endpoint/EndpointCatalog.java
@@ -69,7 +69,10 @@
     private int size;
     private int upCount;
     private int removedInCellTable;
-    /** The number of the current list. An entry with a lower number has not been named by this list. */
+    /**
+     * Sequence number of the complete list that was begun last. Each update stores it in the entries that the update
+     * contains; when the list ends, entries with a lower number are missing from it and are removed.
+     */
     private int generation;
 
     private boolean listInProgress;
--- a/src/main/java/quotagateway/policy/health/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/health/OutlierDetector.java
@@ -68,7 +68,11 @@
         doublings = 0;
     }
 
-    /** Returns whether the endpoint was unreachable on probation: its process may have restarted since. */
+    /**
+     * Returns whether no connection to the endpoint could be made at some time during the current probation, which
+     * lasts from an ejection to the next success or {@link #reset}: the process has ended, and another one may have
+     * started.
+     */
     public boolean mayHaveRestarted() {
         return unreachableOnProbation;
     }
--- a/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallWindow.java
@@ -35,7 +35,12 @@
     private final EventClock clock;
     private final TimerQueue timers;
     private final Random random;
+    /**
+     * Maximum number of calls in flight, except for returns of units, which do not wait. Below 1, calls are made one at
+     * a time with pauses in between.
+     */
     private double window;
+
     private double resumeAt;
     private int inFlight;
 
@@ -66,7 +71,7 @@
         return clock.now() >= resumeAt;
     }
 
-    /** Called right before a call is made. */
+    /** Records the start of a call, which is in flight until {@link #onReply}. A window below 1 starts a pause. */
     void onCall() {
         inFlight++;
         if (window < 1) {
@@ -74,7 +79,11 @@
         }
     }
 
-    /** Called when a call has ended. */
+    /**
+     * Records the end of a call, including a failed or timed-out call, and adapts the window: a rejected or timed-out
+     * call lowers it and starts a pause, a slow successful call lowers it, and a quick successful call raises it if the
+     * window was full.
+     */
     void onReply(CallOutcome outcome, double tookMs) {
         inFlight--;
         double timeout = settings.capabilities().counterTimeout();
--- a/src/main/java/quotagateway/policy/quota/CustomerQuota.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerQuota.java
@@ -36,11 +36,12 @@
     private final HardLimit hardLimit;
 
     /**
-     * Creates the quota of a customer that has become active.
+     * Creates the quota of a customer on a plan. This happens when a request arrives and there is no such quota: it is
+     * the first request, or the quota was evicted because the customer was idle.
      *
      * @param name identifies customer and plan together, identically on all gateways
-     * @param gatewayCount how many gateways share the customer
-     * @param position the index of this gateway among these gateways
+     * @param gatewayCount number of gateways that receive the customer's requests and share this quota
+     * @param position the index of this gateway among these gateways, from 0
      */
     public CustomerQuota(
             String name, QuotaPlan plan, int gatewayCount, int position, QuotaContext context, QuotaDemand demand) {
--- a/src/main/java/quotagateway/policy/slowstart/FleetSizeEstimator.java
+++ b/src/main/java/quotagateway/policy/slowstart/FleetSizeEstimator.java
@@ -7,7 +7,10 @@
  * it stays near the former size for a while, because the lost endpoints return soon, and their traffic with them.
  */
 public final class FleetSizeEstimator {
-    /** Time constant of the decrease: lost endpoints are expected to return within about this time. */
+    /**
+     * Time constant with which the estimate decays to the present number of this gateway's endpoints after a loss: lost
+     * endpoints are expected to return within about this time.
+     */
     private static final double SIZE_DECAY_TIME_CONSTANT_MS = 60_000;
 
     private double estimatedSize;
--- a/src/main/java/quotagateway/policy/timer/TimerQueue.java
+++ b/src/main/java/quotagateway/policy/timer/TimerQueue.java
@@ -12,7 +12,10 @@
 public final class TimerQueue {
     private record Timer(double at, long serial, Runnable task) {}
 
-    /** Because of rounding, the host's clock may differ from the requested time by less than this. */
+    /**
+     * The host is the program that runs the policy. Because delays and clock times are rounded, a timer event may have
+     * a time that is earlier than the requested one by less than this. A later time needs no tolerance.
+     */
     private static final double CLOCK_TOLERANCE_MS = 1e-3;
     /** A timer must be earlier by more than this to replace the timer that the host has. */
     private static final double REARM_TOLERANCE_MS = CLOCK_TOLERANCE_MS / 1000;
--- a/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
+++ b/src/main/java/quotagateway/policy/traffic/SendRateLimiter.java
@@ -50,7 +50,9 @@
     private final EventClock clock;
     private final TimerQueue timers;
     private final TrafficMeter traffic;
+    /** Attempts per second, including retries, that this gateway may at present send to all endpoints together. */
     private double ratePerSecond;
+
     private double permits;
     private double refilledAt;
     private double wakeUpAt;
--- a/src/main/java/quotagateway/startup/Readiness.java
+++ b/src/main/java/quotagateway/startup/Readiness.java
@@ -29,8 +29,8 @@
      */
     private static final double MAX_WAIT_WITH_LIST_MS = 2000;
     /**
-     * The longest wait (ms) without a list: it is longer, as a gateway without any list has no endpoint to send
-     * requests to.
+     * The longest wait (ms) of a starting gateway without a cached list. It is longer than the wait with a cached list,
+     * as a gateway that starts without any endpoint list has no endpoint to send requests to.
      */
     public static final double MAX_WAIT_WITHOUT_LIST_MS = 4000;
     /** The gateway is ready this long (ms) after the start of the program, as far as the processor allows. */
