--- a/src/test/java/quotagateway/node/AdminServerTest.java
+++ b/src/test/java/quotagateway/node/AdminServerTest.java
@@ -12,9 +12,9 @@
 import quotagateway.config.GatewayConfig;
 import quotagateway.config.Json;
 
-/** Calls to the admin endpoint: correct ones, wrong ones, and callers that never finish one. */
+/** Calls to the admin endpoint: valid calls, invalid calls, and callers that never complete a call. */
 class AdminServerTest extends NodeFixture {
-    private Peer.Connection caller() throws Exception {
+    private Peer.Connection connectCaller() throws Exception {
         Peer.Connection connection = Peer.Connection.connect(((InetSocketAddress) node.adminAddress()).getPort());
         closeables.add(connection);
         return connection;
@@ -44,37 +44,37 @@
         assertEquals("404", callAdmin(node, "GET", "/admin/healthy").get(0));
         assertEquals("405", callAdmin(node, "POST", "/admin/health").get(0));
         assertEquals("200", callAdmin(node, "GET", "/admin/health?verbose=1").get(0));
-        Peer.Connection garbage = caller();
+        Peer.Connection garbage = connectCaller();
         garbage.write("\u0000\u0001garbage\r\n\r\n");
         assertEquals("400", readHttpResponse(garbage).get(0));
-        Peer.Connection connection = caller();
+        Peer.Connection connection = connectCaller();
         connection.write("GET /" + "x".repeat(5000) + " HTTP/1.1\r\n\r\n");
         assertEquals("414", readHttpResponse(connection).get(0));
-        Peer.Connection head = caller();
+        Peer.Connection head = connectCaller();
         head.write("GET /admin/health HTTP/1.1\r\nx: " + "x".repeat(9000) + "\r\n\r\n");
         assertEquals("431", readHttpResponse(head).get(0));
-        Peer.Connection body = caller();
+        Peer.Connection body = connectCaller();
         body.write("GET /admin/health HTTP/1.1\r\ncontent-length: 100000\r\n\r\n");
         assertEquals("413", readHttpResponse(body).get(0));
     }
 
-    /** A caller may shut down its side behind its call; a second call on the connection is ignored. */
+    /** A caller may half-close the connection after its call; a second call on the connection is ignored. */
     @Test
-    void connectionEndsBehindItsFirstCall() throws Exception {
+    void connectionClosesAfterItsFirstCall() throws Exception {
         start();
-        Peer.Connection connection = caller();
+        Peer.Connection connection = connectCaller();
         connection.write("GET /admin/health HTTP/1.1\r\n\r\nGET /admin/health HTTP/1.1\r\n\r\n");
         connection.socket.shutdownOutput();
         assertEquals(List.of("200", "takes clients\n"), readHttpResponse(connection));
     }
 
-    /** Callers that send nothing or half a call neither hold up the next call nor keep descriptors for long. */
+    /** Callers that send nothing or an incomplete call neither delay the next call nor hold descriptors for long. */
     @Test
     void idleAndIncompleteCallersGiveWayToNewOnes() throws Exception {
         start();
         List<Peer.Connection> idle = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Peer.Connection connection = caller();
+            Peer.Connection connection = connectCaller();
             if (i % 2 == 0) {
                 connection.write("GET /admin/hea");
             }
--- a/src/test/java/quotagateway/node/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/node/ClientDisconnectTest.java
@@ -19,18 +19,18 @@
 import quotagateway.transport.Transport;
 
 /**
- * No attempt begins for a client that has disconnected. Under both transports: epoll reports an end of the connection
- * by itself, NIO only when it is read.
+ * No attempt begins for a client that has disconnected. The tests run with both transports: epoll reports the end of a
+ * connection by itself, NIO reports it only when the connection is read.
  */
 class ClientDisconnectTest extends NodeFixture {
-    private static final int PIPELINED = 256;
-    /** A client timeout (ms) that no test reaches. */
-    private static final int NEVER_MS = 60_000;
+    private static final int PIPELINE_LIMIT = 256;
+    /** A client timeout in milliseconds that no test reaches. */
+    private static final int UNREACHED_TIMEOUT_MS = 60_000;
 
     private void start(boolean epoll) throws Exception {
         assumeTrue(!epoll || Epoll.isAvailable());
         Transport.useEpoll(epoll);
-        recordDiscoveryFailures = false; // the watch may fall silent in between
+        recordDiscoveryFailures = false; // the watch may time out during the test
         start();
     }
 
@@ -51,28 +51,28 @@
         }
         while (!missing.isEmpty()) {
             String event = policyEvents.poll(10, TimeUnit.SECONDS);
-            assertTrue(missing.remove(event), event + " with " + missing.size() + " to go");
+            assertTrue(missing.remove(event), event + " while " + missing.size() + " disconnects are outstanding");
         }
     }
 
-    private Peer.Connection clientAtThePipelineLimit() throws Exception {
+    private Peer.Connection connectClientAtPipelineLimit() throws Exception {
         Peer.Connection client = connectClient();
-        for (int i = 1; i <= PIPELINED; i++) {
-            sendGet(client, Integer.toHexString(i), "hold", NEVER_MS);
+        for (int i = 1; i <= PIPELINE_LIMIT; i++) {
+            sendGet(client, Integer.toHexString(i), "hold", UNREACHED_TIMEOUT_MS);
             expectRequest(i, "hold");
         }
         return client;
     }
 
-    /** At the limit on pipelined requests the connection is not read on, but its end must be seen all the same. */
+    /** At the limit on pipelined requests the connection is not read, but its end must still be detected. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void disconnectIsSeenWhileTooMuchIsUnansweredToReadOn(boolean epoll) throws Exception {
+    void disconnectIsDetectedAtThePipelineLimit(boolean epoll) throws Exception {
         start(epoll);
-        Peer.Connection client = clientAtThePipelineLimit();
+        Peer.Connection client = connectClientAtPipelineLimit();
         client.sendCommand("PING");
         client.close();
-        expectDisconnects(1, PIPELINED);
+        expectDisconnects(1, PIPELINE_LIMIT);
         Peer.Connection otherClient = connectClient();
         sendGet(otherClient, "ff01", "refuse", 900);
         assertEquals(List.of("-BUSY 1500"), otherClient.readMessage());
@@ -80,27 +80,27 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void disconnectIsSeenWhileMoreIsUnreadThanIsReadAhead(boolean epoll) throws Exception {
+    void disconnectIsDetectedBeyondTheReadAheadLimit(boolean epoll) throws Exception {
         start(epoll);
-        Peer.Connection client = clientAtThePipelineLimit();
+        Peer.Connection client = connectClientAtPipelineLimit();
         client.write("*1\r\n$4\r\nPING\r\n".repeat(11_000)); // 150 KB
         client.close();
-        expectDisconnects(1, PIPELINED);
+        expectDisconnects(1, PIPELINE_LIMIT);
     }
 
-    /** What was not read on is accepted in its order, and all of it, once earlier requests are answered. */
+    /** All commands that were not read at the limit are accepted in order once earlier requests are answered. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void clientThatStaysLosesNothing(boolean epoll) throws Exception {
+    void commandsBeyondThePipelineLimitAreAllAnswered(boolean epoll) throws Exception {
         start(epoll);
         Peer.Connection client = connectClient();
-        for (int i = 1; i <= PIPELINED; i++) {
+        for (int i = 1; i <= PIPELINE_LIMIT; i++) {
             sendGet(client, Integer.toHexString(i), "hold", 600);
         }
         for (int i = 1; i <= 2000; i++) {
             sendGet(client, "r" + i, "refuse", 900);
         }
-        for (int i = 1; i <= PIPELINED; i++) {
+        for (int i = 1; i <= PIPELINE_LIMIT; i++) {
             assertEquals(List.of("-ERR failed"), client.readMessage());
         }
         for (int i = 1; i <= 2000; i++) {
@@ -110,20 +110,24 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void disconnectIsSeenWhileClientsAreNotReadForMemory(boolean epoll) throws Exception {
+    void disconnectIsDetectedWhileMemoryIsExhausted(boolean epoll) throws Exception {
         start(epoll);
         Peer.Connection largeClient = connectClient();
         String body = "x".repeat(64 * 1024);
-        int bodies = 128; // 64 KB and a header each: over the 8 MB of the memory budget
+        int bodies = 128; // 64 KB and a header each: more than the memory budget of 8 MB
         for (int i = 1; i <= bodies; i++) {
             largeClient.sendCommand(
-                    "CALL.POST", CUSTOMER, "b" + i, "c=hold,t=p,d=" + NEVER_MS + ",units=2,spread=3,first=1", body);
+                    "CALL.POST",
+                    CUSTOMER,
+                    "b" + i,
+                    "c=hold,t=p,d=" + UNREACHED_TIMEOUT_MS + ",units=2,spread=3,first=1",
+                    body);
             expectRequest(i, "hold");
         }
         Peer.Connection client = connectClient();
-        sendGet(client, "01", "hold", NEVER_MS);
+        sendGet(client, "01", "hold", UNREACHED_TIMEOUT_MS);
         expectRequest(bodies + 1, "hold");
-        sendGet(client, "02", "hold", NEVER_MS);
+        sendGet(client, "02", "hold", UNREACHED_TIMEOUT_MS);
         client.socket.shutdownOutput(); // a half-close counts as a disconnect
         expectEvent("gone " + (bodies + 1));
         assertTrue(client.awaitEnd());
@@ -132,20 +136,20 @@
         expectDisconnects(1, bodies);
     }
 
-    /** An attempt that waits for a connection is withdrawn with its client, not at its timeout. */
+    /** An attempt that waits for a connection is withdrawn when its client disconnects, not at its timeout. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void attemptThatWaitsForItsConnectionIsNotSentBehindADisconnect(boolean epoll) throws Exception {
+    void attemptWaitingForItsConnectionIsNotSentAfterADisconnect(boolean epoll) throws Exception {
         start(epoll);
         try (ServerSocket endpointWithFullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            for (int i = 0; i < 2; i++) { // fills its backlog: no connection comes up from here on
+            for (int i = 0; i < 2; i++) { // fills the backlog: no further connection is established
                 closeables.add(
                         new Socket(endpointWithFullBacklog.getInetAddress(), endpointWithFullBacklog.getLocalPort()));
             }
             pushToWatch(list(42, false, entry("s0", "127.0.0.1:" + endpointWithFullBacklog.getLocalPort(), "active")));
             expectEvent("changes s0 UP");
             Peer.Connection client = connectClient();
-            sendGet(client, "01", "read", NEVER_MS);
+            sendGet(client, "01", "read", UNREACHED_TIMEOUT_MS);
             expectRequest(1, "read");
             client.close();
             expectEvent("gone 1");
@@ -153,20 +157,20 @@
         }
     }
 
-    /** When several ends are read in one round, the first must not send an attempt for a client that has gone too. */
+    /** When one event loop iteration reads several disconnects, none may send an attempt for a disconnected client. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void disconnectsThatComeTogetherAreAllSeenBeforeAnythingIsSent(boolean epoll) throws Exception {
+    void simultaneousDisconnectsAreDetectedBeforeAnAttemptIsSent(boolean epoll) throws Exception {
         start(epoll);
         sendNextAfterDisconnectOf = 1;
         Peer.Connection first = connectClient();
-        sendGet(first, "01", "hold", NEVER_MS);
+        sendGet(first, "01", "hold", UNREACHED_TIMEOUT_MS);
         expectRequest(1, "hold");
         Peer.Connection second = connectClient();
-        sendGet(second, "02", "hold", NEVER_MS);
+        sendGet(second, "02", "hold", UNREACHED_TIMEOUT_MS);
         expectRequest(2, "hold");
         Peer.Connection busy = connectClient();
-        sendGet(busy, "03", "stall", NEVER_MS);
+        sendGet(busy, "03", "stall", UNREACHED_TIMEOUT_MS);
         expectRequest(3, "stall");
         first.close();
         second.close();
@@ -179,20 +183,20 @@
         }
     }
 
-    /** A command that is read together with the end of its connection is not sent on. */
+    /** A command that is read together with the end of its connection is not forwarded. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void commandOfADisconnectedClientIsNotForwarded(boolean epoll) throws Exception {
         start(epoll);
         Peer.Connection busy = connectClient();
-        sendGet(busy, "01", "stall", NEVER_MS);
+        sendGet(busy, "01", "stall", UNREACHED_TIMEOUT_MS);
         expectRequest(1, "stall");
         Peer.Connection client = connectClient();
-        sendGet(client, "02", "hold", NEVER_MS);
+        sendGet(client, "02", "hold", UNREACHED_TIMEOUT_MS);
         client.close();
         stallPermits.release();
         Peer.Connection otherClient = connectClient();
-        for (int i = 0; i < 2; i++) { // the second is read behind everything that came before the first
+        for (int i = 0; i < 2; i++) { // the second PING is read after all bytes that arrived before the first
             otherClient.sendCommand("PING");
             assertEquals(List.of("+PONG"), otherClient.readMessage());
         }
--- a/src/test/java/quotagateway/node/CordonStoreTest.java
+++ b/src/test/java/quotagateway/node/CordonStoreTest.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Operators' calls that cordon endpoints, and how they are stored. */
+/** Admin calls that cordon endpoints, and the storage of the cordons. */
 class CordonStoreTest extends NodeFixture {
-    private Path file() {
+    private Path cordonFile() {
         return stateFolder.resolve("cordons-n0");
     }
 
     @Test
-    void cordonOfAListedEndpointIsStoredAndOfAnUnknownOneIsNot() throws Exception {
+    void onlyCordonsOfListedEndpointsAreStored() throws Exception {
         start();
         assertEquals(List.of("200", "done\n"), callAdmin(node, "POST", "/admin/cordon/s0"));
         expectEvent("cordon s0");
-        assertEquals("s0\n", Files.readString(file()));
+        assertEquals("s0\n", Files.readString(cordonFile()));
         assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
-        assertEquals("s0\n", Files.readString(file()));
+        assertEquals("s0\n", Files.readString(cordonFile()));
         expectEvent("cordon s0");
         assertEquals("404", callAdmin(node, "POST", "/admin/cordon/s1").get(0));
         expectEvent("cordon s1");
@@ -30,57 +30,57 @@
         expectEvent("uncordon ");
         assertEquals("405", callAdmin(node, "GET", "/admin/cordon/s0").get(0));
         assertEquals("400", callAdmin(node, "POST", "/admin/cordon/s%").get(0));
-        assertEquals("s0\n", Files.readString(file()));
+        assertEquals("s0\n", Files.readString(cordonFile()));
         assertEquals("200", callAdmin(node, "POST", "/admin/uncordon/s%30").get(0));
         expectEvent("uncordon s0");
-        assertEquals("", Files.readString(file()));
+        assertEquals("", Files.readString(cordonFile()));
     }
 
-    /** They are in force before the first attempt; a last line that was cut off is left out. */
+    /** Stored cordons apply before the first attempt; a truncated last line is ignored. */
     @Test
-    void storedCordonsAreInForceInTheNextProcess() throws Exception {
-        Files.writeString(file(), "s0\ns1\ns-to");
+    void storedCordonsApplyInTheNextProcess() throws Exception {
+        Files.writeString(cordonFile(), "s0\ns1\ns-to");
         start("cordons [s0, s1]");
         assertEquals("200", callAdmin(node, "POST", "/admin/uncordon/s0").get(0));
-        assertEquals("s1\n", Files.readString(file()));
+        assertEquals("s1\n", Files.readString(cordonFile()));
     }
 
     @Test
     void unreadableCordonFileDoesNotStopAStart() throws Exception {
-        Files.createDirectory(file()); // can neither be read nor written as a file
+        Files.createDirectory(cordonFile()); // can neither be read nor written as a file
         start();
         assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         expectEvent("cordon s0");
     }
 
-    /** A write that fails for a while must not lose the call for the next process. */
+    /** A cordon must reach the next process even if writing the file fails temporarily. */
     @Test
-    void cordonThatCouldNotBeStoredIsStoredWhenTheFolderIsBack() throws Exception {
-        Files.createDirectory(file());
+    void cordonIsStoredOnceItsFileIsWritableAgain() throws Exception {
+        Files.createDirectory(cordonFile());
         start();
         assertEquals("503", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
         expectEvent("cordon s0");
-        Files.delete(file());
+        Files.delete(cordonFile());
         long deadlineNanos = System.nanoTime() + 10_000_000_000L;
-        while (!Files.exists(file()) && System.nanoTime() < deadlineNanos) {
+        while (!Files.exists(cordonFile()) && System.nanoTime() < deadlineNanos) {
             Thread.sleep(10);
         }
-        assertEquals("s0\n", Files.readString(file()));
+        assertEquals("s0\n", Files.readString(cordonFile()));
     }
 
-    /** While a new version comes up beside the old one, a call that reaches one process holds for both. */
+    /** While a new version starts next to the old one, a cordon call that reaches one process applies to both. */
     @Test
-    void cordonStoredByAnotherProcessIsInForceHere() throws Exception {
+    void cordonStoredByAnotherProcessApplies() throws Exception {
         start();
         Path replacement = stateFolder.resolve("next");
         Files.writeString(replacement, "s5\n");
-        Files.move(replacement, file(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+        Files.move(replacement, cordonFile(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         expectEvent("cordons [s5]");
         assertEquals("200", callAdmin(node, "POST", "/admin/cordon/s0").get(0));
-        assertEquals(Set.of("s0", "s5"), Set.copyOf(Files.readAllLines(file())));
+        assertEquals(Set.of("s0", "s5"), Set.copyOf(Files.readAllLines(cordonFile())));
     }
 
-    /** It is about to be restarted, as a rule: requests would find its idle connections dead. */
+    /** A cordoned endpoint is usually about to restart, and requests would find its idle connections dead. */
     @Test
     void cordonedEndpointKeepsNoIdleConnections() throws Exception {
         start();
--- a/src/test/java/quotagateway/node/DescriptorBudgetTest.java
+++ b/src/test/java/quotagateway/node/DescriptorBudgetTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many of the descriptors each kind of connection may take. */
+/** The number of file descriptors that each kind of connection may use. */
 class DescriptorBudgetTest {
     @Test
-    void sharesOfAnOrdinaryLimit() {
+    void sharesOfATypicalLimit() {
         DescriptorBudget budget = DescriptorBudget.withAdminEndpoint(1024);
         assertEquals(256, budget.endpointConnections());
         assertEquals(563, budget.clientConnections());
@@ -15,15 +15,15 @@
     }
 
     @Test
-    void clientsTakeWhatTheOthersLeave() {
-        // 200 - 50 for endpoints - 40 of its own - 2 * 6 while clients give way
+    void clientsGetTheRemainingDescriptors() {
+        // 200 - 50 for endpoints - 40 of the node itself - 2 * 6 for clients beyond the limit during evictions
         assertEquals(98, DescriptorBudget.withoutAdminEndpoint(200).clientConnections());
-        // and 17 of the admin endpoint
+        // and 17 for the admin endpoint
         assertEquals(81, DescriptorBudget.withAdminEndpoint(200).clientConnections());
     }
 
     @Test
-    void clientsAlwaysHaveAThird() {
+    void clientsAreGuaranteedAThird() {
         assertEquals(13, DescriptorBudget.withAdminEndpoint(40).clientConnections());
         assertEquals(33, DescriptorBudget.withAdminEndpoint(100).clientConnectionsDuringHandover());
     }
--- a/src/test/java/quotagateway/node/DescriptorLimitTest.java
+++ b/src/test/java/quotagateway/node/DescriptorLimitTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node in a process of its own, which the system holds to a limit on descriptors. */
+/** A node in a separate process whose file descriptors the operating system limits. */
 @Timeout(60)
 class DescriptorLimitTest {
-    private static final int DESCRIPTORS = 128;
-    /** Connections to the counter. */
+    private static final int DESCRIPTOR_LIMIT = 128;
+    /** Number of connections to the counter. */
     private static final int COUNTER_CONNECTIONS = 4;
 
     private static final String COMMAND_LIST = "c=read,t=p,d=2000,units=1,spread=1,first=0";
@@ -77,14 +77,14 @@
             try {
                 task.call();
             } catch (Exception | AssertionError closed) {
-                // the test is over, or the node closed this one
+                // the test has ended, or the node has closed the connection
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Answers each request on all connections that come. */
+    /** Answers each request on every accepted connection. */
     private static void respondOnAll(Peer endpoint, CountDownLatch connected) {
         runInBackground(() -> {
             while (true) {
@@ -107,19 +107,19 @@
     }
 
     private Process startNode(int configuredSockets) throws Exception {
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
+        try (ServerSocket freePortSocket = new ServerSocket(0)) {
+            port = freePortSocket.getLocalPort();
         }
         log = folder.resolve("log");
         closeables.addAll(List.of(discovery, counter, endpoint, otherEndpoint));
         Path file = Files.writeString(folder.resolve("config"), configJson(configuredSockets));
         String path = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(p -> !p.matches(".*(junit|opentest4j|apiguardian|test-classes).*"))
-                .collect(Collectors.joining(File.pathSeparator)); // each is a descriptor
+                .collect(Collectors.joining(File.pathSeparator)); // each class path entry uses a descriptor
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                "ulimit -n " + DESCRIPTORS + " && exec '"
+                "ulimit -n " + DESCRIPTOR_LIMIT + " && exec '"
                         + ProcessHandle.current().info().command().orElseThrow() + "' -cp '" + path
                         + "' quotagateway.Main serve");
         builder.environment().put("EDGE_CONFIG", file.toString());
@@ -132,28 +132,28 @@
     }
 
     private void connectIdleClients() throws Exception {
-        for (int i = 0; i < DESCRIPTORS; i++) { // each sends one request, and then idles
+        for (int i = 0; i < DESCRIPTOR_LIMIT; i++) { // each client sends one request and then stays idle
             Peer.Connection idle = connectClient();
             idle.sendCommand("PING");
             assertEquals(List.of("+PONG"), idle.readMessage());
         }
-        for (int i = 0; i < DESCRIPTORS; i++) {
-            connectClient(); // sends nothing at all
+        for (int i = 0; i < DESCRIPTOR_LIMIT; i++) {
+            connectClient(); // sends nothing
         }
     }
 
     private String listOfMoreEndpointsThanConnections() {
         List<String> entries = new ArrayList<>();
-        for (int i = 1; i <= DESCRIPTORS; i++) {
+        for (int i = 1; i <= DESCRIPTOR_LIMIT; i++) {
             entries.add(NodeFixture.entry("s" + i, otherEndpoint.address(), "active"));
         }
         return NodeFixture.list(42, true, entries.toArray(new String[0]));
     }
 
-    /** Clients fill what they may while discovery is away and the counter breaks off: both must be reached again. */
+    /** Clients use up their descriptors while discovery and the counter are down: the node must reconnect to both. */
     @Test
     void idleClientsLeaveDescriptorsForTheNodeItself() throws Exception {
-        Process node = startNode(DESCRIPTORS);
+        Process node = startNode(DESCRIPTOR_LIMIT);
         try {
             Peer.Connection watch = discovery.awaitConnection();
             answerWatch(watch, "");
@@ -171,14 +171,14 @@
                 connections[i].close();
             }
             for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
-                counter.awaitConnection(); // the counter is reached again
+                counter.awaitConnection(); // the node reconnects to the counter
             }
             Peer newDiscovery = new Peer(freedPort);
             closeables.add(newDiscovery);
             answerWatch(newDiscovery.awaitConnection(), listOfMoreEndpointsThanConnections());
             CountDownLatch endpointReached = new CountDownLatch(1);
             respondOnAll(otherEndpoint, endpointReached);
-            assertTrue(endpointReached.await(10, TimeUnit.SECONDS)); // so the list was read
+            assertTrue(endpointReached.await(10, TimeUnit.SECONDS)); // so the node has read the list
             Peer.Connection client = connectClient();
             client.sendCommand("CALL.GET", NodeFixture.CUSTOMER, "01", COMMAND_LIST);
             assertEquals(List.of("served"), client.readMessage());
@@ -189,7 +189,7 @@
         }
     }
 
-    /** The configuration allows more descriptors than the system: running out of them must not end the event loop. */
+    /** The configuration allows more descriptors than the system: exhaustion must not terminate the event loop. */
     @Test
     void nodeRecoversOnceDescriptorsAreFreeAgain() throws Exception {
         Process node = startNode(1024);
@@ -198,7 +198,7 @@
             answerWatch(discovery.awaitConnection(), "");
             awaitBind();
             List<Peer.Connection> idleClients = new ArrayList<>();
-            for (int i = 0; i < DESCRIPTORS; i++) {
+            for (int i = 0; i < DESCRIPTOR_LIMIT; i++) {
                 idleClients.add(connectClient());
             }
             while (!Files.readString(log).contains("Too many open files")) {
@@ -224,8 +224,8 @@
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable each : closeables) {
-            each.close();
+        for (AutoCloseable resource : closeables) {
+            resource.close();
         }
     }
 }
--- a/src/test/java/quotagateway/node/DiscoveryWatchTest.java
+++ b/src/test/java/quotagateway/node/DiscoveryWatchTest.java
@@ -8,35 +8,34 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Watches that break off or stall: the change that they did not bring may be a drain, whose grace is 250 ms. */
+/** Watches that break off or stall: the undelivered change may be a drain, whose grace period is 250 ms. */
 class DiscoveryWatchTest extends NodeFixture {
-    /** Half a line and no end of the connection: it counts as dead soon, not only when the whole watch is silent. */
+    /** A watch that stalls within a line counts as dead sooner than a watch that is silent between lines. */
     @Test
-    void watchWithHalfALineThatStallsIsRenewed() throws Exception {
+    void watchThatStallsWithinALineIsRenewed() throws Exception {
         start();
-        String connection = list(42, false, entry("s0", endpointPeer.address(), "leaving"));
-        watchConnection.write(Integer.toHexString(connection.length() + 1) + "\r\n"
-                + connection.substring(0, connection.length() / 2));
-        Peer.Connection next = discoveryPeer.pollConnection(1500);
-        assertNotNull(next, "a new watch long before silence is told from its death");
-        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", next.readLine());
+        String line = list(42, false, entry("s0", endpointPeer.address(), "leaving"));
+        watchConnection.write(Integer.toHexString(line.length() + 1) + "\r\n" + line.substring(0, line.length() / 2));
+        Peer.Connection nextWatchConnection = discoveryPeer.pollConnection(1500);
+        assertNotNull(nextWatchConnection, "no new watch well before the timeout of a silent watch");
+        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", nextWatchConnection.readLine());
         assertTrue(watchConnection.awaitEnd());
     }
 
-    /** Nodes that restart together must not wait for one another's turn at an overloaded discovery. */
+    /** Nodes that restart together must not wait until an overloaded discovery has served the other nodes. */
     @Test
     void nodeWithACachedListListensBeforeDiscoveryAnswers() throws Exception {
         node = newNode(configJson());
         long startedNanos = System.nanoTime();
         node.start(); // discovery does not answer
         long tookMs = (System.nanoTime() - startedNanos) / 1_000_000;
-        assertTrue(tookMs < 3500, "took " + tookMs + " ms; 4 s is the most that is waited for parts not ready");
+        assertTrue(tookMs < 3500, "took " + tookMs + " ms; the wait for components is limited to 4 s");
         endpointConnection = endpointPeer.awaitConnection();
         expectEvent("whole s0 UP");
         try (Peer.Connection client = connectClient()) {
             sendGet(client, "01", "read", 900);
             String event = policyEvents.poll(10, TimeUnit.SECONDS);
-            while ("discovery failed".equals(event)) { // it is called again and again meanwhile
+            while ("discovery failed".equals(event)) { // the node repeats the call meanwhile
                 event = policyEvents.poll(10, TimeUnit.SECONDS);
             }
             assertEquals("arrived 1 read p " + CUSTOMER + " 2 3 1 false", event);
@@ -46,9 +45,9 @@
         }
     }
 
-    /** From its first moment a node has to know what discovery has: it waits for one silent call and repeats it. */
+    /** A node needs the current list when it starts to serve: it waits for one unanswered call and repeats it. */
     @Test
-    void nodeWhoseFirstCallIsSilentAsksAgainBeforeItListens() throws Exception {
+    void unansweredFirstCallIsRepeatedBeforeTheNodeListens() throws Exception {
         node = newNode(configJson());
         Thread starting = new Thread(() -> {
             try {
@@ -58,10 +57,10 @@
             }
         });
         starting.start();
-        Peer.Connection quiet = discoveryPeer.awaitConnection();
-        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", quiet.readLine());
+        Peer.Connection unansweredCall = discoveryPeer.awaitConnection();
+        assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", unansweredCall.readLine());
         watchConnection = discoveryPeer.awaitConnection();
-        assertEquals(null, node.listenAddress(), "it listens by the list known from before");
+        assertEquals(null, node.listenAddress(), "the node listens with the cached list before discovery has answered");
         watchConnection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
         expectEvent("whole s0 UP");
@@ -71,40 +70,40 @@
         assertNotNull(node.listenAddress());
     }
 
-    /** Behind a watch that worked the next one follows at once, without backoff. */
+    /** After a watch that worked, the next watch starts immediately, without backoff. */
     @Test
-    void watchThatBreaksOffIsRenewedAtOnce() throws Exception {
+    void brokenWatchIsRenewedImmediately() throws Exception {
         start();
-        long least = Long.MAX_VALUE;
-        for (int i = 0; i < 3; i++) { // the shortest of three: a busy machine only adds
-            long ended = System.nanoTime();
+        long shortestMs = Long.MAX_VALUE;
+        for (int i = 0; i < 3; i++) { // the shortest of three: load on the machine only adds time
+            long closedNanos = System.nanoTime();
             watchConnection.close();
             answerWatch();
-            least = Math.min(least, (System.nanoTime() - ended) / 1_000_000);
+            shortestMs = Math.min(shortestMs, (System.nanoTime() - closedNanos) / 1_000_000);
             expectEvent("discovery failed");
             pushToWatch(list(42 + i, false, entry("s0", endpointPeer.address(), "active")));
-            expectEvent("changes s0 UP"); // it worked: the backoff starts from the beginning
+            expectEvent("changes s0 UP"); // the watch worked: the backoff is reset
             pushToWatch(list(41, false));
             expectEvent("changes");
         }
-        assertTrue(least < 190, "took " + least + " ms; 200 and more before");
+        assertTrue(shortestMs < 190, "took " + shortestMs + " ms; with a backoff it takes at least 200 ms");
     }
 
-    /** The backoff stays short: a node that stays away for 2 s learns of a drain too late. */
+    /** The backoff stays short: a node without a watch for 2 s learns of a drain too late. */
     @Test
-    void discoveryThatEndsEachWatchIsAskedAgainSoon() throws Exception {
+    void discoveryThatClosesEachWatchIsCalledAgainSoon() throws Exception {
         start();
         watchConnection.close();
         for (int i = 0; i < 10; i++) {
-            Peer.Connection again = discoveryPeer.pollConnection(1000);
-            assertNotNull(again, "after " + i);
-            again.close();
+            Peer.Connection nextWatch = discoveryPeer.pollConnection(1000);
+            assertNotNull(nextWatch, "no new watch after watch " + i);
+            nextWatch.close();
         }
     }
 
-    /** A list need not be one line: an indented one is read to its end. */
+    /** A list may span several lines: an indented list is read completely. */
     @Test
-    void indentedListIsOneList() throws Exception {
+    void indentedListIsReadAsOneList() throws Exception {
         start();
         pushToWatch("{\n  \"seq\": 42,\n  \"whole\": false,\n  \"hosts\": [\n    "
                 + entry("s0", endpointPeer.address(), "leaving").replace(",", ",\n      ") + "\n  ]\n}");
@@ -116,7 +115,7 @@
         assertEquals("GET /catalog/members?follow=1&since=42 HTTP/1.1", watchConnection.readLine());
     }
 
-    /** Discovery refuses a version that it has forgotten: asking for changes since then again would never end. */
+    /** Discovery refuses a version that it no longer has: requesting changes since that version would fail forever. */
     @Test
     void refusedVersionIsFollowedByACallForTheCompleteList() throws Exception {
         start();
@@ -130,7 +129,7 @@
         assertEquals("GET /catalog/members HTTP/1.1", watchConnection.readLine());
     }
 
-    /** A call that is accepted and never answered is repeated before the change counts as known. */
+    /** A call that is accepted and never answered is repeated before a pending change has to be known. */
     @Test
     void unansweredCallForTheListIsRepeated() throws Exception {
         start();
@@ -139,12 +138,12 @@
         watchConnection = discoveryPeer.awaitConnection();
         watchConnection.write("HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n");
         expectEvent("discovery failed");
-        Peer.Connection silent = discoveryPeer.awaitConnection();
-        assertEquals("GET /catalog/members HTTP/1.1", silent.readLine());
+        Peer.Connection unansweredListCall = discoveryPeer.awaitConnection();
+        assertEquals("GET /catalog/members HTTP/1.1", unansweredListCall.readLine());
         watchConnection = discoveryPeer.pollConnection(3000);
-        assertNotNull(watchConnection, "asked anew before what it had to tell counts as told");
+        assertNotNull(watchConnection, "the call for the list is not repeated within 3 s");
         assertEquals("GET /catalog/members HTTP/1.1", watchConnection.readLine());
-        silent.input.readAllBytes(); // returns when the node closes it
+        unansweredListCall.input.readAllBytes(); // returns when the node closes it
         String list = list(43, true, entry("s0", endpointPeer.address(), "leaving"));
         watchConnection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
         expectEvent("discovery failed");
--- a/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
+++ b/src/test/java/quotagateway/node/EndpointListMemoryBenchmark.java
@@ -17,26 +17,26 @@
 import java.util.List;
 
 /**
- * Measures one node, with the deploy file's flags, that gets a list of so many endpoints: a cached one, where that is
- * asked for, then a complete one from discovery, three times. Not a test; from the root: {@code
- * EndpointListMemoryBenchmark [ENDPOINTS] [known]}. A line of CSV for each step: wall and CPU time (ms) since the one
- * before, resident memory and its peak (MB).
+ * Measures a node, started with the flags of the deploy file, that reads a list of ENDPOINTS endpoints: a cached list
+ * if {@code known} is given, then a complete list from discovery, three times. Not a test; run from the root: {@code
+ * EndpointListMemoryBenchmark [ENDPOINTS] [known]}. Prints a CSV line for each step: wall and CPU time (ms) since the
+ * previous step, resident memory and its peak (MB).
  */
 final class EndpointListMemoryBenchmark {
-    private static final int TICK = 10;
-    private static long cpuBefore;
-    private static long wallBefore = System.nanoTime();
+    private static final int CLOCK_TICK_MS = 10;
+    private static long previousCpuMs;
+    private static long previousWallNanos = System.nanoTime();
 
     private EndpointListMemoryBenchmark() {}
 
     public static void main(String[] args) throws Exception {
-        int servers = args.length > 0 ? Integer.parseInt(args[0]) : 200_000;
+        int endpointCount = args.length > 0 ? Integer.parseInt(args[0]) : 200_000;
         Path folder = Files.createTempDirectory("list-memory");
-        try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 ServerSocket counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
             try (PrintStream out = new PrintStream(new BufferedOutputStream(Files.newOutputStream(config)))) {
-                int discoveryPort = agent.getLocalPort();
+                int discoveryPort = discovery.getLocalPort();
                 int counterPort = counter.getLocalPort();
                 out.printf("""
                     {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","counter":"127.0.0.1:%d",
@@ -46,7 +46,7 @@
                        "effect":"read_like","aim":600,"hard_limit":2000}],
                       "tariffs":[{"name":"p","per_second":8,"depth":8}]},"known":""", discoveryPort, counterPort);
                 if (args.length > 1) {
-                    list(out, servers, 1);
+                    printList(out, endpointCount, 1);
                 } else {
                     out.print("null");
                 }
@@ -55,7 +55,7 @@
             Process node = start(config, folder);
             try {
                 System.out.println("servers,step,wall_ms,cpu_ms,rss_mb,peak_mb");
-                answer(agent, node, servers);
+                answerListCalls(discovery, node, endpointCount);
             } finally {
                 node.destroy();
                 node.waitFor();
@@ -63,9 +63,9 @@
         }
     }
 
-    private static void list(PrintStream out, int servers, int seq) {
+    private static void printList(PrintStream out, int endpointCount, int seq) {
         out.print("{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[");
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < endpointCount; i++) {
             out.print((i > 0 ? ",\n" : "") + "{\"host\":\"s-" + Integer.toHexString(0x5be2a07c + i)
                     + "\",\"dial\":\"127." + (1 + (i >> 16)) + "." + (i >> 8 & 255) + "." + (i & 255)
                     + ":6379\",\"site\":\"z" + i % 18 + "\",\"class\":\"m" + i % 5 + "\",\"block\":" + i / 40
@@ -92,39 +92,39 @@
         return builder.start();
     }
 
-    /** The call that follows a list shows that the list has been read. */
-    private static void answer(ServerSocket agent, Process node, int servers) throws IOException {
+    /** Answers three calls for the list; the call that follows a list shows that the node has read the list. */
+    private static void answerListCalls(ServerSocket discovery, Process node, int endpointCount) throws IOException {
         int seq = 2;
         for (int round = 0; round < 3; round++) {
-            try (Socket socket = agent.accept()) {
+            try (Socket socket = discovery.accept()) {
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 in.readLine();
-                step(node, servers, round == 0 ? "asks" : "asks again");
+                printStep(node, endpointCount, round == 0 ? "asks" : "asks again");
                 OutputStream raw = new BufferedOutputStream(socket.getOutputStream(), 1 << 16);
                 PrintStream out = new PrintStream(raw);
                 // the list ends with the connection
                 out.print("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-                list(out, servers, seq++);
-                step(node, servers, "list written");
+                printList(out, endpointCount, seq++);
+                printStep(node, endpointCount, "list written");
             }
         }
     }
 
-    private static void step(Process node, int servers, String what) throws IOException {
-        Path of = Path.of("/proc/" + node.pid());
-        String stat = Files.readString(of.resolve("stat"));
+    private static void printStep(Process node, int endpointCount, String stepName) throws IOException {
+        Path procFolder = Path.of("/proc/" + node.pid());
+        String stat = Files.readString(procFolder.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
-        long cpu = TICK * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+        long cpu = CLOCK_TICK_MS * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
         long wall = System.nanoTime();
-        System.out.println(servers + "," + what + "," + (wall - wallBefore) / 1_000_000 + "," + (cpu - cpuBefore) + ","
-                + status(of, "VmRSS:") + "," + status(of, "VmHWM:"));
-        cpuBefore = cpu;
-        wallBefore = wall;
+        System.out.println(endpointCount + "," + stepName + "," + (wall - previousWallNanos) / 1_000_000 + ","
+                + (cpu - previousCpuMs) + "," + statusMb(procFolder, "VmRSS:") + "," + statusMb(procFolder, "VmHWM:"));
+        previousCpuMs = cpu;
+        previousWallNanos = wall;
     }
 
-    private static long status(Path of, String name) throws IOException {
-        return Files.readAllLines(of.resolve("status")).stream()
+    private static long statusMb(Path procFolder, String name) throws IOException {
+        return Files.readAllLines(procFolder.resolve("status")).stream()
                 .filter(l -> l.startsWith(name))
                 .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024)
                 .sum();
--- a/src/test/java/quotagateway/node/GatewayNodeTest.java
+++ b/src/test/java/quotagateway/node/GatewayNodeTest.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Requests through a node: their order and outcomes, endpoint lists, and the counter. */
+/** Requests through a node: order and outcomes, endpoint lists, and the counter. */
 class GatewayNodeTest extends NodeFixture {
     private static final int COUNTER_CONNECTIONS = 4;
 
     @Test
-    void requestIsForwardedUnchangedButForTheTimeLeft() throws Exception {
+    void requestIsForwardedUnchangedExceptForItsTimeout() throws Exception {
         start();
         Peer.Connection client = connectClient();
         client.sendCommand("PING");
@@ -36,7 +36,7 @@
         expectEvent("ended 1 0 OK true");
     }
 
-    /** Responses keep the order of the commands, whichever endpoint is quicker. */
+    /** Responses keep the order of the commands, regardless of which endpoint responds first. */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         start();
@@ -55,38 +55,38 @@
     }
 
     @Test
-    void commandsInPiecesAreAcceptedWhenWhole() throws Exception {
+    void fragmentedCommandsAreAcceptedOnceComplete() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        String whole = "*1\r\n$4\r\nPING\r\n*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER
+        String commands = "*1\r\n$4\r\nPING\r\n*4\r\n$8\r\nCALL.GET\r\n$16\r\n" + CUSTOMER
                 + "\r\n$2\r\n01\r\n$19\r\nc=refuse,t=p,d=1500\r\n";
         client.socket.setTcpNoDelay(true);
-        for (int i = 0; i < whole.length(); i++) {
-            char c = whole.charAt(i);
+        for (int i = 0; i < commands.length(); i++) {
+            char c = commands.charAt(i);
             client.write(String.valueOf(c));
         }
         assertEquals(List.of("+PONG"), client.readMessage());
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** An endpoint may close idle connections early: requests must not go out on one that it is about to close. */
+    /** An endpoint may close idle connections early: no request may be sent on a connection that is about to close. */
     @Test
-    void deadConnectionsAreNotUsedAgain() throws Exception {
+    void connectionsThatTheEndpointClosesAreNotReused() throws Exception {
         start();
         Peer.Connection client = connectClient();
         Peer.Connection connection = endpointConnection;
-        int again = 0;
+        int resets = 0;
         sendGet(client, "first", "read", 900);
         connection.readMessage();
         connection.sendValue("one");
         assertEquals(List.of("one"), client.readMessage());
-        for (boolean reused = true; reused; again++) {
-            sendGet(client, again + "a", "read", 900);
+        for (boolean reused = true; reused; resets++) {
+            sendGet(client, resets + "a", "read", 900);
             try {
                 connection.readMessage();
                 connection.close();
                 assertEquals(List.of("-ERR failed"), client.readMessage());
-                sendGet(client, again + "b", "read", 900);
+                sendGet(client, resets + "b", "read", 900);
             } catch (EOFException | java.net.SocketException closed) {
                 reused = false;
             }
@@ -94,9 +94,9 @@
             connection.readMessage();
             connection.sendValue("two");
             assertEquals(List.of("two"), client.readMessage());
-            assertTrue(again < 60, "reused for ever");
+            assertTrue(resets < 60, "the node still reuses connections that the endpoint closes");
         }
-        assertTrue(again >= 5, "a few resets may be chance: " + again);
+        assertTrue(resets >= 5, "reuse stopped after too few resets, which may be chance: " + resets);
     }
 
     @Test
@@ -112,19 +112,19 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** A connection that ends behind the last byte of a request may have executed it, one that ends before has not. */
+    /** A request may have been executed if the connection ends after its last byte, and not if it ends before. */
     @Test
     void eachEndOfAnAttemptHasItsOutcome() throws Exception {
         start();
         Peer.Connection client = connectClient();
         String[][] cases = {{"-ERR failed\r\n", "ERROR"}, {"-BUSY\r\n", "FULL"}};
         int id = 0;
-        for (String[] each : cases) {
+        for (String[] testCase : cases) {
             sendGet(client, "0" + ++id, "read", 900);
             expectRequest(id, "read");
             endpointConnection.readMessage();
-            endpointConnection.write(each[0]);
-            expectEvent("ended " + id + " 0 " + each[1] + " false");
+            endpointConnection.write(testCase[0]);
+            expectEvent("ended " + id + " 0 " + testCase[1] + " false");
             assertEquals(List.of("-ERR failed"), client.readMessage());
         }
         sendGet(client, "03", "read", 900);
@@ -138,7 +138,7 @@
         expectEvent("ended 4 0 NO_CONNECTION false");
     }
 
-    /** A late response to an abandoned attempt must not be taken for that of the next one. */
+    /** A late response to an abandoned attempt must not be taken for the response to the next attempt. */
     @Test
     void abandonedAttemptClosesItsConnection() throws Exception {
         start();
@@ -157,7 +157,7 @@
         assertTrue(second.awaitEnd());
     }
 
-    /** Where the policy does not decide the node does: each request gets one response in time. */
+    /** If the policy does not decide, the node does: each request gets one response before its deadline. */
     @Test
     void requestThatThePolicyHoldsOrFailsOnIsAnswered() throws Exception {
         start();
@@ -174,9 +174,9 @@
         assertEquals(List.of("-ERR failed"), client.readMessage());
     }
 
-    /** The policy has one timer for everything that it waits for: an exception must not lose it. */
+    /** The policy has a single timer for all its waits: an exception must not cancel it. */
     @Test
-    void timerThatFailsComesAgain() throws Exception {
+    void failedTimerFiresAgain() throws Exception {
         timersToFail.set(1);
         start();
         Peer.Connection client = connectClient();
@@ -190,11 +190,11 @@
     @Test
     void idleConnectionIsRetiredBeforeTheEndpointClosesIt() throws Exception {
         keepAliveMs = 6000;
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         start();
         assertTrue(endpointConnection.awaitEnd());
-        long kept = (System.nanoTime() - begun) / 1_000_000;
-        assertTrue(kept >= 2900, "a node that meets each server seldom needs it again: " + kept + " ms");
+        long keptMs = (System.nanoTime() - startedNanos) / 1_000_000;
+        assertTrue(keptMs >= 2900, "retired too early, as a node seldom uses each endpoint: " + keptMs + " ms");
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 900);
         Peer.Connection second = endpointPeer.awaitConnection();
@@ -214,9 +214,9 @@
         expectEvent("probed s0 OK [0.61, 7.0]");
     }
 
-    /** The counter connection on which the first call has come, once it has. */
-    private BlockingQueue<Peer.Connection> connectionsWithTheFirstCall() throws Exception {
-        BlockingQueue<Peer.Connection> called = new LinkedBlockingQueue<>();
+    /** Returns a queue that receives the counter connection on which the first call arrives. */
+    private BlockingQueue<Peer.Connection> listenForFirstCall() throws Exception {
+        BlockingQueue<Peer.Connection> calledConnections = new LinkedBlockingQueue<>();
         for (int i = 0; i < COUNTER_CONNECTIONS; i++) {
             Peer.Connection connection = counterPeer.awaitConnection();
             Thread reading = new Thread(() -> {
@@ -227,41 +227,41 @@
                         words = connection.readMessage();
                     }
                     assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), words);
-                    called.add(connection);
+                    calledConnections.add(connection);
                 } catch (IOException closed) {
-                    // not the connection that the call came on
+                    // the call arrived on another connection
                 }
             });
             reading.setDaemon(true);
             reading.start();
         }
-        return called;
+        return calledConnections;
     }
 
-    /** A counter call that times out may have been executed; its late reply must not be taken for that of the next. */
+    /** A timed-out counter call may have been executed; its late reply must not be taken for that of the next call. */
     @Test
-    void lateCounterRepliesStayWithTheirCalls() throws Exception {
+    void lateCounterRepliesAreMatchedToTheirCalls() throws Exception {
         start();
-        BlockingQueue<Peer.Connection> called = connectionsWithTheFirstCall();
+        BlockingQueue<Peer.Connection> calledConnections = listenForFirstCall();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "count", 900);
         expectRequest(1, "count");
         expectEvent("counted 77 TIMEOUT 0.0");
         expectEvent("counted 77 TIMEOUT 0.0");
-        Peer.Connection connection = called.poll(10, TimeUnit.SECONDS);
+        Peer.Connection connection = calledConnections.poll(10, TimeUnit.SECONDS);
         assertNotNull(connection);
         assertEquals(List.of("CNT.ADD", "77", "1", "4000"), connection.readMessage());
         sendGet(client, "02", "count", 900);
         expectRequest(2, "count");
         connection.readMessage();
         connection.readMessage();
-        connection.write("$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late replies, then those in time
+        connection.write("$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late replies, then two in time
         expectEvent("counted 77 OK 1.5");
         expectEvent("counted 77 FULL 0.0");
         sendGet(client, "03", "count", 900);
         expectRequest(3, "count");
         connection.readMessage();
-        connection.close(); // behind the call: it may have been executed
+        connection.close(); // after the call: it may have been executed
         expectEvent("counted 77 RESET 0.0");
         expectEvent("counted 77 RESET 0.0");
     }
@@ -272,17 +272,17 @@
         pushToWatch(list(42, false, entry("s0", endpointPeer.address(), "leaving")));
         expectEvent("changes s0 DRAINING");
         assertTrue(endpointConnection.awaitEnd()); // idle connections are closed too
-        try (Peer moved = new Peer()) {
-            pushToWatch(list(43, false, entry("s0", moved.address(), "active")));
+        try (Peer newAddressPeer = new Peer()) {
+            pushToWatch(list(43, false, entry("s0", newAddressPeer.address(), "active")));
             expectEvent("changes s0 UP");
             Peer.Connection client = connectClient();
             sendGet(client, "01", "read", 900);
             expectRequest(1, "read");
-            Peer.Connection connection = moved.awaitConnection();
+            Peer.Connection connection = newAddressPeer.awaitConnection();
             assertEquals("01", connection.readMessage().get(2));
             connection.sendValue("v");
             expectEvent("ended 1 0 OK true");
-            pushToWatch(list(44, false, entry("s0", moved.address(), "left")));
+            pushToWatch(list(44, false, entry("s0", newAddressPeer.address(), "left")));
             expectEvent("changes s0 REMOVED");
             sendGet(client, "02", "read", 900);
             expectRequest(2, "read");
@@ -292,7 +292,7 @@
         }
     }
 
-    /** A watch sends a line every 2 s: one whose lines stop is dead, as where the other machine has vanished. */
+    /** A watch sends a line every 2 s: a watch without lines is dead, for example because the agent's host failed. */
     @Test
     void silentWatchIsRenewedFromItsVersion() throws Exception {
         start();
--- a/src/test/java/quotagateway/node/LargeRequestTest.java
+++ b/src/test/java/quotagateway/node/LargeRequestTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Requests with values above 64 KiB, which are passed on to an endpoint as they come. */
+/** Requests with values above 64 KiB, which are streamed to an endpoint as they arrive. */
 class LargeRequestTest extends NodeFixture {
     private static final int LARGE_BYTES = 4 << 20;
     private static final int FIRST_BYTES = 100_000;
@@ -34,7 +34,7 @@
         return "c=" + requestClass + ",t=p,d=5000,k=5c0f,units=2,spread=3,first=1";
     }
 
-    /** Sends the first bytes of a value, and reads them at the endpoint while the rest is still to come. */
+    /** Sends the first bytes of a value and reads them at the endpoint before the rest is sent. */
     private void beginLargeRequest(Peer.Connection client) throws Exception {
         sendCommandUpToValue(client, "01", commandList("write"), LARGE_BYTES);
         sendValueBytes(client, 0, FIRST_BYTES);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void largeValueReachesTheEndpointWhileItStillComes() throws Exception {
+    void largeValueIsStreamedToTheEndpoint() throws Exception {
         start();
         Peer.Connection client = connectClient();
         beginLargeRequest(client);
@@ -71,15 +71,15 @@
         assertEquals(List.of("done"), client.readMessage());
         expectEvent("ended 1 0 OK true");
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("relayed_total 1\n"));
-        sendGet(client, "02", "read", 900); // both connections are used again
+        sendGet(client, "02", "read", 900); // both connections are reused
         assertEquals("02", endpointConnection.readMessage().get(2));
         endpointConnection.sendValue("small");
         assertEquals(List.of("small"), client.readMessage());
     }
 
-    /** What went out with the first attempt is not kept for a second one; an incomplete command was not executed. */
+    /** Bytes sent with the first attempt are not kept for a retry; an incomplete command was not executed. */
     @Test
-    void partlySentValueIsNotSentAgain() throws Exception {
+    void partiallySentValueIsNotResent() throws Exception {
         start();
         Peer.Connection client = connectClient();
         beginLargeRequest(client);
@@ -88,13 +88,13 @@
         assertEquals(List.of("-ERR failed"), client.readMessage());
         sendValueBytes(client, FIRST_BYTES, LARGE_BYTES);
         client.write("\r\n");
-        sendGet(client, "02", "refuse", 900); // the next command is read behind the rest
+        sendGet(client, "02", "refuse", 900); // the next command is read after the rest
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
         assertNull(endpointPeer.pollConnection(100));
     }
 
     @Test
-    void disconnectedClientLeavesAnIncompleteCommandThatNeverRuns() throws Exception {
+    void commandOfADisconnectedClientStaysIncomplete() throws Exception {
         start();
         Peer.Connection client = connectClient();
         beginLargeRequest(client);
@@ -104,9 +104,9 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** While a request waits for quota or an endpoint no more than the first part of its value is read. */
+    /** While a request waits for quota or an endpoint, only the first part of its value is read. */
     @Test
-    void valueThatNoEndpointTakesIsNotReadOn() throws Exception {
+    void valueIsNotReadFurtherWhileItsRequestWaits() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendCommandUpToValue(client, "01", commandList("hold").replace("5000", "700"), LARGE_BYTES);
@@ -119,7 +119,7 @@
             }
         });
         all.start();
-        expectRequest(1, "hold"); // fails at its deadline, and the rest is read and dropped
+        expectRequest(1, "hold"); // fails at its deadline, and the rest of the value is read and discarded
         assertEquals(List.of("-ERR failed"), client.readMessage());
         all.join();
         sendGet(client, "02", "refuse", 900);
@@ -127,22 +127,22 @@
     }
 
     @Test
-    void valueThatStopsComingIsEnded() throws Exception {
+    void stalledValueFailsItsRequest() throws Exception {
         start();
-        Peer.Connection before = connectClient();
-        sendCommandUpToValue(before, "02", commandList("write"), LARGE_BYTES);
-        sendValueBytes(before, 0, 1000); // too little yet for the request to be accepted
+        Peer.Connection earlierClient = connectClient();
+        sendCommandUpToValue(earlierClient, "02", commandList("write"), LARGE_BYTES);
+        sendValueBytes(earlierClient, 0, 1000); // too few bytes for the request to be accepted
         Peer.Connection client = connectClient();
         beginLargeRequest(client);
         assertEquals(List.of("-ERR failed"), client.readMessage());
         assertTrue(client.readMessage().get(0).startsWith("-ERR no whole command"));
         assertTrue(client.awaitEnd());
-        assertTrue(before.readMessage().get(0).startsWith("-ERR no whole command"));
-        assertTrue(before.awaitEnd());
+        assertTrue(earlierClient.readMessage().get(0).startsWith("-ERR no whole command"));
+        assertTrue(earlierClient.awaitEnd());
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** The value of a command that is refused before it has come is read and dropped. */
+    /** The value of a command that is refused before the value has arrived is read and discarded. */
     @Test
     void malformedCommandsWithLargeValuesAreRefused() throws Exception {
         start();
@@ -157,12 +157,14 @@
         assertEquals(List.of("+PONG"), client.readMessage());
         sendGet(client, "02", "refuse", 900);
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
-        String four = "$1\r\na\r\n".repeat(4);
-        for (String bad : new String[] {
-            "*5\r\n$1\r\na\r\n$70000\r\n", "*4\r\n" + four + "$70000\r\n", "*5\r\n" + four + "$4194305\r\n"
+        String fourArguments = "$1\r\na\r\n".repeat(4);
+        for (String malformed : new String[] {
+            "*5\r\n$1\r\na\r\n$70000\r\n",
+            "*4\r\n" + fourArguments + "$70000\r\n",
+            "*5\r\n" + fourArguments + "$4194305\r\n"
         }) {
             Peer.Connection other = connectClient();
-            other.write(bad);
+            other.write(malformed);
             String answer = other.readMessage().get(0);
             assertTrue(answer.startsWith("-ERR "), answer);
         }
--- a/src/test/java/quotagateway/node/LargeResponseTest.java
+++ b/src/test/java/quotagateway/node/LargeResponseTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Values above 64 KiB, which are passed on to the client as they come, and responses that come slowly. */
+/** Values above 64 KiB, which are streamed to the client as they arrive, and responses that arrive slowly. */
 class LargeResponseTest extends NodeFixture {
     private static final int LARGE_BYTES = 4 << 20;
     private static final int FIRST_BYTES = 100_000;
@@ -27,7 +27,7 @@
         connection.socket.getOutputStream().write(value, from, to - from);
     }
 
-    /** Sends a request, and the first bytes of a large value in response. */
+    /** Sends a request, and the first bytes of a large value in the response. */
     private void beginLargeResponse(Peer.Connection client, int id, Peer.Connection connection, byte[] value)
             throws Exception {
         sendGet(client, "0" + id, "read", 900);
@@ -38,15 +38,15 @@
     }
 
     @Test
-    void largeValueReachesTheClientWhileItStillComes() throws Exception {
+    void largeValueIsStreamedToTheClient() throws Exception {
         start();
         Peer.Connection client = connectClient();
         byte[] value = randomBytes(LARGE_BYTES);
         beginLargeResponse(client, 1, endpointConnection, value);
-        expectEvent("ended 1 0 OK true"); // at its first bytes: reading it may take longer than the client's timeout
+        expectEvent("ended 1 0 OK true"); // at the first bytes: the rest may take longer than the client's timeout
         assertEquals("$" + LARGE_BYTES, client.readLine());
-        byte[] got = new byte[LARGE_BYTES];
-        client.input.readNBytes(got, 0, FIRST_BYTES);
+        byte[] received = new byte[LARGE_BYTES];
+        client.input.readNBytes(received, 0, FIRST_BYTES);
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("open_requests 1\n"));
         Thread rest = new Thread(() -> {
             try {
@@ -57,11 +57,11 @@
             }
         });
         rest.start();
-        client.input.readNBytes(got, FIRST_BYTES, LARGE_BYTES - FIRST_BYTES);
+        client.input.readNBytes(received, FIRST_BYTES, LARGE_BYTES - FIRST_BYTES);
         rest.join();
-        assertArrayEquals(value, got);
+        assertArrayEquals(value, received);
         assertEquals("", client.readLine());
-        sendGet(client, "02", "read", 900); // both connections are used again
+        sendGet(client, "02", "read", 900); // both connections are reused
         assertEquals("02", endpointConnection.readMessage().get(2));
         endpointConnection.sendValue("small");
         assertEquals(List.of("small"), client.readMessage());
@@ -69,9 +69,9 @@
                 callAdmin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"fulfilled\"} 2\n"));
     }
 
-    /** What has begun cannot be taken back: only a close tells the client that it is incomplete. */
+    /** A response that has begun cannot be withdrawn: only a close tells the client that it is incomplete. */
     @Test
-    void valueThatBreaksOffClosesTheClientsConnection() throws Exception {
+    void truncatedValueClosesTheClientConnection() throws Exception {
         start();
         Peer.Connection client = connectClient();
         byte[] value = randomBytes(LARGE_BYTES);
@@ -84,9 +84,9 @@
                 callAdmin(node, "GET", "/admin/stats").get(1).contains("{priority=\"read\",status=\"faulted\"} 1\n"));
     }
 
-    /** While earlier responses are outstanding nothing of it has gone out: the request fails, the connection stays. */
+    /** While earlier responses are outstanding no byte has been sent: the request fails, the connection stays open. */
     @Test
-    void valueThatBreaksOffBeforeItsTurnFailsItsRequest() throws Exception {
+    void valueTruncatedBeforeItsTurnFailsItsRequest() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 5000);
@@ -112,7 +112,7 @@
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** The endpoint's connection is closed too: the rest of the value would still come on it. */
+    /** The endpoint's connection is closed too, because the rest of the value would still arrive on it. */
     @Test
     void disconnectedClientEndsTheStream() throws Exception {
         start();
@@ -124,9 +124,9 @@
         assertTrue(callAdmin(node, "GET", "/admin/stats").get(1).contains("open_requests 0\n"));
     }
 
-    /** The clients together would have far more on its way than a node has memory. */
+    /** Together the values that the clients do not read are far larger than the node's memory. */
     @Test
-    void clientsThatDoNotReadHoldEndpointsBack() throws Exception {
+    void clientsThatDoNotReadApplyBackpressureToEndpoints() throws Exception {
         maxSockets = 512;
         start();
         byte[] value = randomBytes(LARGE_BYTES);
@@ -160,9 +160,9 @@
         }
     }
 
-    /** A response that keeps coming is not incomplete, however long it takes. */
+    /** A response whose bytes keep arriving does not count as incomplete, however long it takes. */
     @Test
-    void smallResponseInSlowPiecesIsWaitedFor() throws Exception {
+    void slowSmallResponseIsAwaited() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 5000);
@@ -172,7 +172,7 @@
         endpointConnection.socket.setTcpNoDelay(true);
         for (byte b : answer.getBytes(StandardCharsets.US_ASCII)) {
             endpointConnection.write(String.valueOf((char) b));
-            Thread.sleep(20); // 600 ms in all
+            Thread.sleep(20); // 600 ms in total
         }
         assertEquals(List.of("0123456789"), client.readMessage());
     }
@@ -192,7 +192,7 @@
         expectRequest(2, "read");
         Peer.Connection connection = endpointPeer.awaitConnection();
         connection.readMessage();
-        connection.write("*3\r\n$1\r\nv\r\n$70000\r\n"); // neither may usage figures and load report be large
+        connection.write("*3\r\n$1\r\nv\r\n$70000\r\n"); // actual units and load report may not be large either
         expectEvent("ended 2 0 ERROR false");
         assertThrows(EOFException.class, connection::readLine);
     }
--- a/src/test/java/quotagateway/node/LifecycleGuardTest.java
+++ b/src/test/java/quotagateway/node/LifecycleGuardTest.java
@@ -21,7 +21,7 @@
 import quotagateway.policy.api.RetryScope;
 import quotagateway.upstream.Attempt;
 
-/** What the guard allows and denies, and which violations of invariants it reports. */
+/** Decisions of the guard, and the invariant violations that it reports. */
 class LifecycleGuardTest {
     private static final double WINDOW_MS = 2000;
 
@@ -44,8 +44,8 @@
         return new EndpointDescriptor("s" + cell, cell, zone, EndpointState.UP, "", 0, 1, 0);
     }
 
-    /** An attempt sent at 0 that has ended with this outcome, or is in flight where that is null. */
-    private static Attempt earlier(CallOutcome outcome, EndpointDescriptor endpoint) {
+    /** Returns an attempt sent at time 0 that has ended with this outcome, or is in flight if the outcome is null. */
+    private static Attempt previousAttempt(CallOutcome outcome, EndpointDescriptor endpoint) {
         Attempt attempt = new Attempt(null, 0, "s", 0, endpoint);
         attempt.recordOutcome(outcome);
         if (outcome != null) {
@@ -57,13 +57,13 @@
     private Optional<SendDenial> denialOfRetry(Idempotency idempotency, CallOutcome outcome, double now) {
         return guard.denialOfRetry(
                 requestClass(idempotency, RetryScope.ALL),
-                earlier(outcome, null),
+                previousAttempt(outcome, null),
                 new Attempt(null, 1, "t", now, null),
                 now);
     }
 
     @Test
-    void attemptThatNeverRanIsRetriedWhateverItsIdempotency() {
+    void unexecutedAttemptIsRetriedRegardlessOfIdempotency() {
         for (Idempotency idempotency : Idempotency.values()) {
             for (CallOutcome outcome : List.of(CallOutcome.NO_CONNECTION, CallOutcome.FULL, CallOutcome.NOT_SENT)) {
                 assertEquals(Optional.empty(), denialOfRetry(idempotency, outcome, 100), idempotency + " " + outcome);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void attemptThatMayHaveRunIsRetriedOnlyWhereItsIdempotencyAllows() {
+    void possiblyExecutedAttemptIsRetriedOnlyIfIdempotencyAllows() {
         for (CallOutcome outcome :
                 List.of(CallOutcome.RESET, CallOutcome.TIMEOUT, CallOutcome.ERROR, CallOutcome.CANCELLED)) {
             assertEquals(Optional.empty(), denialOfRetry(Idempotency.IDEMPOTENT, outcome, 100));
@@ -82,9 +82,9 @@
         }
     }
 
-    /** The decision may be older: a connection had to come up first, or the node was held up. */
+    /** The decision may be outdated: the connection had to be established first, or the node stalled. */
     @Test
-    void keyedRetryIsDeniedWhenAStallCouldTakeItPastTheWindow() {
+    void keyedRetryIsDeniedWhenAStallCouldDelayItPastTheWindow() {
         assertEquals(Optional.empty(), denialOfRetry(Idempotency.IDEMPOTENCY_KEY, CallOutcome.RESET, WINDOW_MS - 151));
         assertEquals(
                 Optional.of(SendDenial.WINDOW_OVER),
@@ -95,7 +95,8 @@
     void retryOfAnUnknownClassIsDenied() {
         assertEquals(
                 Optional.of(SendDenial.NOT_REPEATABLE),
-                guard.denialOfRetry(null, earlier(CallOutcome.RESET, null), new Attempt(null, 1, "t", 1, null), 1));
+                guard.denialOfRetry(
+                        null, previousAttempt(CallOutcome.RESET, null), new Attempt(null, 1, "t", 1, null), 1));
     }
 
     @Test
@@ -106,16 +107,19 @@
         assertEquals(
                 Optional.empty(),
                 hedging.denialOfRetry(
-                        requestClass(Idempotency.IDEMPOTENT, RetryScope.ALL), earlier(null, null), next, 1));
+                        requestClass(Idempotency.IDEMPOTENT, RetryScope.ALL), previousAttempt(null, null), next, 1));
         assertEquals(
                 Optional.of(SendDenial.NOT_REPEATABLE),
                 hedging.denialOfRetry(
-                        requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL), earlier(null, null), next, 1));
+                        requestClass(Idempotency.NON_IDEMPOTENT, RetryScope.ALL),
+                        previousAttempt(null, null),
+                        next,
+                        1));
     }
 
     @Test
     void keyedRetryStaysInItsScope() {
-        Attempt first = earlier(CallOutcome.RESET, endpoint(1, "a"));
+        Attempt first = previousAttempt(CallOutcome.RESET, endpoint(1, "a"));
         for (EndpointDescriptor endpoint :
                 new EndpointDescriptor[] {endpoint(2, "a"), endpoint(1, "a"), endpoint(3, "b"), null}) {
             Attempt next = new Attempt(null, 1, "t", 1, endpoint);
@@ -134,7 +138,7 @@
     }
 
     @Test
-    void statesAreEnteredInOrderAndOnce() {
+    void statesAreEnteredOnceAndInOrder() {
         assertTrue(guard.mayListen());
         assertTrue(state.startDraining(0));
         assertFalse(state.startServing());
@@ -146,7 +150,7 @@
     }
 
     @Test
-    void processEndsWhenNoResponseIsOwed() {
+    void processEndsWhenNoResponseIsDue() {
         assertFalse(guard.mayEnd(false, 0, false));
         assertFalse(guard.mayEnd(true, 1, false));
         assertTrue(guard.mayEnd(true, 0, false));
--- a/src/test/java/quotagateway/node/ListenerLifecycleTest.java
+++ b/src/test/java/quotagateway/node/ListenerLifecycleTest.java
@@ -23,9 +23,9 @@
 import quotagateway.streaming.RequestBody;
 import quotagateway.transport.Transport;
 
-/** The listener of a node at its two ends: a client that comes at once, and those that come in a shutdown. */
+/** The listener at start and shutdown: a client that connects during bind, and clients during a shutdown. */
 class ListenerLifecycleTest extends NodeFixture {
-    /** Behind SIGTERM clients still connect for a while; all requests are answered, and then the node ends. */
+    /** After SIGTERM clients can connect for a while; all requests are answered before the node ends. */
     @Test
     void nodeAnswersOpenRequestsBeforeItEnds() throws Exception {
         start();
@@ -54,8 +54,8 @@
         assertThrows(ConnectException.class, this::connectClient);
     }
 
-    /** Stands behind a listener whose clients send no requests. */
-    private static final class PingOnly implements ClientRequestHandler {
+    /** Handler for a listener whose clients send no requests. */
+    private static final class PingOnlyHandler implements ClientRequestHandler {
         @Override
         public String acceptCommand(
                 ResponseSlot slot, ArrayRedisMessage command, RequestBody body, double receivedAtMs) {
@@ -82,23 +82,23 @@
     }
 
     /**
-     * A client may connect before bind has returned to its caller, and must be served. Here bind never returns, as its
-     * caller is interrupted.
+     * A client that connects before bind has returned must be served. In this test bind never returns normally, because
+     * its caller is interrupted.
      */
     @Test
-    void clientThatComesBeforeBindReturnsIsServed() throws Exception {
+    void clientThatConnectsBeforeBindReturnsIsServed() throws Exception {
         start();
         InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+        try (ServerSocket freePortSocket = new ServerSocket(0)) {
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePortSocket.getLocalPort());
         }
         EventLoopGroup group = Transport.newEventLoop();
         try {
             Thread.currentThread().interrupt();
             assertThrows(
                     InterruptedException.class,
-                    () -> new ClientListener(node.eventLoop(), new PingOnly(), 8).bind(group, address));
-            group.submit(() -> {}).sync(); // behind the bind, which is left to the event loop
+                    () -> new ClientListener(node.eventLoop(), new PingOnlyHandler(), 8).bind(group, address));
+            group.submit(() -> {}).sync(); // runs after the bind, which the event loop completes
             group.submit(() -> {}).sync();
             try (Peer.Connection connection = Peer.Connection.connect(address.getPort())) {
                 connection.sendCommand("PING");
@@ -109,14 +109,14 @@
         }
     }
 
-    /** A response that a slow client has not read yet is not cut off when the node closes its side. */
+    /** A response that a slow client has not read yet is not truncated when the node closes its side. */
     @Test
-    void longResponseIsWholeForASlowReaderInAShutdown() throws Exception {
+    void longResponseReachesASlowReaderCompletelyDuringAShutdown() throws Exception {
         maxSockets = 1024;
         start();
         Peer.Connection client = connectClient();
         String value = "v".repeat(64 * 1024);
-        int calls = 140; // more than fits into the sockets' buffers
+        int calls = 140; // more than the socket buffers hold
         List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
             sendGet(client, "0" + i, "read", 20_000);
@@ -131,10 +131,10 @@
         draining.start();
         assertThrows(
                 SocketException.class,
-                () -> { // refused, or reset where the end crosses a connect
+                () -> { // refused, or reset if the listener closes during a connect
                     while (draining.isAlive()) {
                         connectClient()
-                                .close(); // until it listens no more: by then the connections have been ended too
+                                .close(); // until it stops listening: by then the connections have been closed too
                     }
                 });
         assertThrows(ConnectException.class, this::connectClient);
--- a/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
+++ b/src/test/java/quotagateway/node/MalformedPeerResponseTest.java
@@ -11,7 +11,7 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** Responses of endpoints and of the counter that are malformed, or have more behind them. */
+/** Responses of endpoints and replies of the counter that are malformed or followed by extra bytes. */
 class MalformedPeerResponseTest extends NodeFixture {
     private Peer.Connection sendGetOnNewConnection(Peer.Connection client, int id) throws Exception {
         sendGet(client, "0" + id, "read", 5000);
@@ -21,28 +21,28 @@
         return connection;
     }
 
-    /** A second copy or half a message right behind a response must not be taken for that of the next request. */
+    /** A duplicate or an incomplete message after a response must not be taken for the next request's response. */
     @Test
-    void bytesBehindAResponseCloseTheConnection() throws Exception {
+    void bytesAfterAResponseCloseTheConnection() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 5000);
         expectRequest(1, "read");
         endpointConnection.readMessage();
-        String[] behind = {"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3", "noise"};
+        String[] extraBytes = {"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3", "noise"};
         Peer.Connection connection = endpointConnection;
-        for (int i = 1; i <= behind.length; i++) {
-            connection.write("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n" + behind[i - 1]);
+        for (int i = 1; i <= extraBytes.length; i++) {
+            connection.write("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n" + extraBytes[i - 1]);
             assertEquals(List.of("one"), client.readMessage());
             expectEvent("ended " + i + " 0 OK true");
-            assertTrue(connection.awaitEnd(), behind[i - 1]);
+            assertTrue(connection.awaitEnd(), extraBytes[i - 1]);
             connection = sendGetOnNewConnection(client, i + 1);
         }
         connection.sendValue("own");
         assertEquals(List.of("own"), client.readMessage());
     }
 
-    /** The decoder keeps half a message to itself: bytes are seen even where no message comes of them. */
+    /** The decoder buffers an incomplete message: unexpected bytes are detected even if no message follows. */
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
         start();
@@ -53,13 +53,13 @@
         expectEvent("ended 1 0 OK true");
     }
 
-    /** It may have been executed, and what comes next on the connection belongs to no request. */
+    /** The request may have been executed, and further bytes on the connection belong to no request. */
     @Test
     void malformedResponseIsAnErrorAndClosesTheConnection() throws Exception {
         start();
         endpointConnection.close();
         Peer.Connection client = connectClient();
-        String[] forms = {
+        String[] malformedResponses = {
             "*-1\r\n",
             "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
             "+OK\r\n",
@@ -73,18 +73,18 @@
             "*3\r\n$3000000000\r\nabc",
             "*3\r\n$-7\r\n"
         };
-        for (int i = 1; i <= forms.length; i++) {
+        for (int i = 1; i <= malformedResponses.length; i++) {
             Peer.Connection connection = sendGetOnNewConnection(client, i);
-            connection.write(forms[i - 1]);
+            connection.write(malformedResponses[i - 1]);
             expectEvent("ended " + i + " 0 ERROR false");
             assertEquals(List.of("-ERR failed"), client.readMessage());
-            assertTrue(connection.awaitEnd(), forms[i - 1]);
+            assertTrue(connection.awaitEnd(), malformedResponses[i - 1]);
         }
     }
 
-    /** A value that is shorter than its length must not hold its request until the client's timeout. */
+    /** A value shorter than its stated length must not delay its request until the client's timeout. */
     @Test
-    void stalledIncompleteResponseIsNotWaitedFor() throws Exception {
+    void stalledIncompleteResponseFailsItsRequest() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 60_000);
@@ -96,9 +96,9 @@
         assertTrue(endpointConnection.awaitEnd());
     }
 
-    /** Half an array is an error, half a line a reset: with both the request may have been executed. */
+    /** An incomplete array is an error, an incomplete line a reset: in both cases the request may have run. */
     @Test
-    void incompleteResponseAtTheCloseCountsAsExecuted() throws Exception {
+    void incompleteResponseAtTheCloseCountsAsPossiblyExecuted() throws Exception {
         start();
         Peer.Connection client = connectClient();
         for (int i = 1; i <= 2; i++) {
@@ -115,9 +115,9 @@
         assertEquals(List.of("own"), client.readMessage());
     }
 
-    /** The value is passed on, and the connection is used again. */
+    /** The value is forwarded, and the connection is reused. */
     @Test
-    void malformedLoadReportDoesNotSpoilItsValue() throws Exception {
+    void malformedLoadReportDoesNotAffectItsValue() throws Exception {
         start();
         Peer.Connection client = connectClient();
         for (int i = 1; i <= 2; i++) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** The amount was added, but the connection cannot be trusted, and a total of NaN would spoil every sum. */
+    /** The amount was added, but the connection cannot be trusted, and a total of NaN would corrupt every sum. */
     @Test
     void counterReplyWithoutANumberClosesItsConnection() throws Exception {
         start();
@@ -140,7 +140,7 @@
         }
         Peer.Connection client = connectClient();
         Peer.Connection connection = connections.get((int) Math.floorMod(77L, 4L));
-        String[] spoilt = {
+        String[] malformedReplies = {
             "$3\r\nNaN\r\n",
             "$8\r\nInfinity\r\n",
             "$3\r\n3x4\r\n",
@@ -151,7 +151,7 @@
             "$4\r\n0x1p\r\n",
             "$9\r\n12"
         };
-        for (int i = 1; i <= spoilt.length; i++) {
+        for (int i = 1; i <= malformedReplies.length; i++) {
             sendGet(client, "0" + i, "count", 5000);
             expectRequest(i, "count");
             for (List<String> words = connection.readMessage();
@@ -159,14 +159,14 @@
                     words = connection.readMessage()) {
                 connection.write("+PONG\r\n");
             }
-            connection.write(spoilt[i - 1]);
+            connection.write(malformedReplies[i - 1]);
             expectEvent("counted 77 ERROR 0.0");
-            expectEvent("counted 77 RESET 0.0"); // the second call was behind it on the same connection
+            expectEvent("counted 77 RESET 0.0"); // the second call was queued on the same connection
             connection = counterPeer.awaitConnection();
         }
     }
 
-    /** Collects what the network library logs. */
+    /** Collects the log messages of the network library. */
     private static final class WarningCollector extends Handler {
         private final List<String> messages;
 
@@ -186,13 +186,13 @@
         public void close() {}
     }
 
-    /** The codec reports half an array behind the end of its connection: no exception may leave the handler. */
+    /** The codec reports an incomplete array after the connection's end: no exception may leave the handler. */
     @Test
-    void incompleteArrayAtTheEndOfAConnectionHarmsNothingElse() throws Exception {
-        List<String> warned = new CopyOnWriteArrayList<>();
-        Logger library = Logger.getLogger("io.netty");
-        Handler noting = new WarningCollector(warned);
-        library.addHandler(noting);
+    void incompleteArrayAtTheEndOfAConnectionIsContained() throws Exception {
+        List<String> warnings = new CopyOnWriteArrayList<>();
+        Logger nettyLogger = Logger.getLogger("io.netty");
+        Handler collector = new WarningCollector(warnings);
+        nettyLogger.addHandler(collector);
         try {
             start();
             List<Peer.Connection> connections = new ArrayList<>();
@@ -217,15 +217,15 @@
             connection.write("$1\r\n5\r\n$1\r\n6\r\n");
             expectEvent("counted 77 OK 5.0");
             expectEvent("counted 77 OK 6.0");
-            assertEquals(List.of(), warned);
+            assertEquals(List.of(), warnings);
         } finally {
-            library.removeHandler(noting);
+            nettyLogger.removeHandler(collector);
         }
     }
 
-    /** A counter name keeps to one connection: while that is down all its calls are lost. */
+    /** All calls for a counter name use one connection: while it is down these calls are lost. */
     @Test
-    void brokenCounterConnectionIsRenewedAtOnce() throws Exception {
+    void brokenCounterConnectionIsRenewedImmediately() throws Exception {
         start();
         List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/quotagateway/node/MemoryBudgetTest.java
+++ b/src/test/java/quotagateway/node/MemoryBudgetTest.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When clients are read no further for want of memory, and when they are again. */
+/** The memory budget: when reading from clients stops, and when it resumes. */
 class MemoryBudgetTest {
     private static final int MAX_BYTES = 8 << 20;
 
     @Test
-    void availabilityIsReportedOnceWhenItIsBack() {
+    void regainedAvailabilityIsReportedOnce() {
         MemoryBudget memory = new MemoryBudget();
         AtomicInteger reports = new AtomicInteger();
         memory.onAvailable(reports::incrementAndGet);
--- a/src/test/java/quotagateway/node/MetricsTest.java
+++ b/src/test/java/quotagateway/node/MetricsTest.java
@@ -17,15 +17,13 @@
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
 
-/** The metrics as a scrape gets them. */
+/** The metrics as a scrape returns them. */
 class MetricsTest extends NodeFixture {
     private static Map<String, Long> samples(String text) {
         Map<String, Long> samples = new TreeMap<>();
-        text.lines().filter(connection -> !connection.startsWith("#")).forEach(connection -> {
-            int space = connection.lastIndexOf(' ');
-            samples.put(
-                    connection.substring(0, space).replace("edge_edge_", ""),
-                    Long.parseLong(connection.substring(space + 1)));
+        text.lines().filter(line -> !line.startsWith("#")).forEach(line -> {
+            int space = line.lastIndexOf(' ');
+            samples.put(line.substring(0, space).replace("edge_edge_", ""), Long.parseLong(line.substring(space + 1)));
         });
         return samples;
     }
@@ -36,8 +34,8 @@
         return samples(answer.get(1));
     }
 
-    private static String operations(String type, String status) {
-        return "operations_total{priority=\"" + type + "\",status=\"" + status + "\"}";
+    private static String operations(String requestClass, String status) {
+        return "operations_total{priority=\"" + requestClass + "\",status=\"" + status + "\"}";
     }
 
     @Test
@@ -88,17 +86,17 @@
         sendGet(client, "03", "read", 5000);
         endpointConnection.readMessage();
         assertEquals(3, scrape().get("relayed_total"));
-        Peer.Connection gone = connectClient();
-        List<String> types = new ArrayList<>(List.of("refuse", "hold", "fail"));
-        for (String type : types) { // the last two are no classes of the settings and get no label
-            sendGet(gone, type, type, 100);
+        Peer.Connection otherClient = connectClient();
+        List<String> requestClasses = new ArrayList<>(List.of("refuse", "hold", "fail"));
+        for (String requestClass : requestClasses) { // the last two are not classes of the settings and get no label
+            sendGet(otherClient, requestClass, requestClass, 100);
         }
-        for (int i = 0; i < types.size(); i++) {
-            gone.readMessage();
+        for (int i = 0; i < requestClasses.size(); i++) {
+            otherClient.readMessage();
         }
         client.close(); // an abandoned request is not counted
-        for (String told = this.policyEvents.take(); !told.equals("gone 3"); told = this.policyEvents.take()) {
-            assertTrue(!told.startsWith("gone 1"));
+        for (String event = this.policyEvents.take(); !event.equals("gone 3"); event = this.policyEvents.take()) {
+            assertTrue(!event.startsWith("gone 1"));
         }
         Map<String, Long> all = scrape();
         assertEquals(1, all.get(operations("read", "fulfilled")));
--- a/src/test/java/quotagateway/node/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/node/MisbehavingClientTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send malformed input or nothing, that do not read, or that come by hundreds. */
+/** Clients that send malformed input or nothing, that do not read, or that connect in large numbers. */
 class MisbehavingClientTest extends NodeFixture {
     private static final String ATTRIBUTES = "c=read,t=p,d=900,units=2,spread=3,first=1";
     private static final String[] MALFORMED_ATTRIBUTE_LISTS = {
@@ -52,14 +52,14 @@
         "$3\r\nabcde"
     };
 
-    private static void rejectsAttributeLists(Peer.Connection client) throws Exception {
+    private static void assertAttributeListsRejected(Peer.Connection client) throws Exception {
         for (String list : MALFORMED_ATTRIBUTE_LISTS) {
             client.sendCommand("CALL.GET", CUSTOMER, "01", list);
             assertTrue(client.readMessage().get(0).startsWith("-ERR "), list);
         }
     }
 
-    private static void rejectsCommands(Peer.Connection client) throws Exception {
+    private static void assertCommandsRejected(Peer.Connection client) throws Exception {
         for (String[] words : MALFORMED_COMMANDS) {
             client.sendCommand(words);
             assertTrue(client.readMessage().get(0).startsWith("-ERR "), String.join(" ", words));
@@ -68,7 +68,7 @@
         assertTrue(client.readMessage().get(0).startsWith("-ERR "));
     }
 
-    private void rejectsMalformedFrames() throws Exception {
+    private void assertMalformedFramesRejected() throws Exception {
         for (String frame : MALFORMED_FRAMES) {
             Peer.Connection other = connectClient();
             other.write(frame);
@@ -77,19 +77,19 @@
         }
     }
 
-    /** Neither crash, hang nor unbounded buffer: an error is the answer, and behind a malformed frame a close. */
+    /** No crash, hang or unbounded buffer: the answer is an error, followed by a close after a malformed frame. */
     @Test
     void malformedInputIsAnsweredWithAnError() throws Exception {
         start();
         Peer.Connection client = connectClient();
-        rejectsAttributeLists(client);
-        rejectsCommands(client);
-        rejectsMalformedFrames();
+        assertAttributeListsRejected(client);
+        assertCommandsRejected(client);
+        assertMalformedFramesRejected();
         sendGet(client, "01", "refuse", 900);
         assertEquals(List.of("-BUSY 1500"), client.readMessage());
     }
 
-    /** An endpoint could not tell two open requests with one id apart; the id of a completed one is free again. */
+    /** An endpoint could not distinguish two open requests with one id; the id of a completed request is reusable. */
     @Test
     void secondRequestWithAnOpenIdIsRefused() throws Exception {
         start();
@@ -104,9 +104,9 @@
         assertEquals(List.of("-BUSY 1500"), other.readMessage());
     }
 
-    /** Its error comes behind the responses to all open requests before it: so these fail at once. */
+    /** The error follows the responses to all earlier open requests, so these requests fail immediately. */
     @Test
-    void malformedFrameIsAnsweredAtOnceBehindOpenRequests() throws Exception {
+    void malformedFrameIsAnsweredImmediatelyAfterOpenRequests() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "hold", 60_000);
@@ -118,37 +118,37 @@
         expectEvent("gone 1");
     }
 
-    /** Silent and incomplete connections must not keep out clients with requests; those that have sent one may stay. */
+    /** Silent and incomplete connections must not block other clients; a client that has sent a request may stay. */
     @Test
     void silentAndIncompleteConnectionsAreClosed() throws Exception {
         start();
-        Peer.Connection good = connectClient();
-        good.sendCommand("PING");
-        assertEquals(List.of("+PONG"), good.readMessage());
+        Peer.Connection activeClient = connectClient();
+        activeClient.sendCommand("PING");
+        assertEquals(List.of("+PONG"), activeClient.readMessage());
         Peer.Connection silent = connectClient();
-        Peer.Connection half = connectClient();
-        half.write("*4\r\n$8\r\nCALL.G");
-        Peer.Connection later = connectClient();
-        later.sendCommand("PING");
-        assertEquals(List.of("+PONG"), later.readMessage());
-        later.write("*1\r\n$4\r\nPI");
-        for (Peer.Connection connection : List.of(silent, half, later)) {
+        Peer.Connection incomplete = connectClient();
+        incomplete.write("*4\r\n$8\r\nCALL.G");
+        Peer.Connection incompleteAfterPing = connectClient();
+        incompleteAfterPing.sendCommand("PING");
+        assertEquals(List.of("+PONG"), incompleteAfterPing.readMessage());
+        incompleteAfterPing.write("*1\r\n$4\r\nPI");
+        for (Peer.Connection connection : List.of(silent, incomplete, incompleteAfterPing)) {
             assertTrue(connection.readMessage().get(0).startsWith("-ERR "));
             assertTrue(connection.awaitEnd());
         }
-        good.sendCommand("PING");
-        assertEquals(List.of("+PONG"), good.readMessage());
+        activeClient.sendCommand("PING");
+        assertEquals(List.of("+PONG"), activeClient.readMessage());
     }
 
-    /** What it does not read is not waited for without end. */
+    /** The node does not wait indefinitely for a client to read its responses. */
     @Test
-    void clientThatNeverReadsDoesNotKeepTheNodeFromEnding() throws Exception {
+    void clientThatNeverReadsDoesNotPreventShutdown() throws Exception {
         maxSockets = 1024;
         start();
         Peer.Connection client = connectClient();
         String value = "v".repeat(64 * 1024);
         List<Peer.Connection> connections = new ArrayList<>();
-        for (int i = 0; i < 140; i++) { // more than fits into the sockets' buffers
+        for (int i = 0; i < 140; i++) { // more than the socket buffers hold
             sendGet(client, "0" + i, "read", 20_000);
             connections.add(i == 0 ? endpointConnection : endpointPeer.awaitConnection());
             connections.get(i).readMessage();
@@ -157,10 +157,10 @@
             connection.sendValue(value);
         }
         drained = true;
-        node.drain(); // would run into the test's timeout
+        node.drain(); // a node that waits for the client would exceed the test's timeout
     }
 
-    /** At the limit on connections an idle one is closed for each new one, as no more could be accepted else. */
+    /** At the connection limit an idle connection is closed for each new one, which could not be accepted otherwise. */
     @Test
     void newClientsEvictTheLongestIdle() throws Exception {
         maxSockets = 40;
@@ -179,7 +179,7 @@
         assertEquals(List.of("-BUSY 1500"), connections.get(39).readMessage());
     }
 
-    /** Half a command may be a true request on a slow connection, and a silent connection is evicted before it. */
+    /** An incomplete command may be a valid request on a slow connection: silent connections are evicted first. */
     @Test
     void incompleteCommandIsEvictedLast() throws Exception {
         maxSockets = 40;
@@ -198,18 +198,18 @@
         assertEquals(List.of("+PONG"), slow.readMessage());
     }
 
-    /** Silent connections that came all at once are evicted after 0.5 s, not only after their 2.5 s. */
+    /** Silent connections that arrive together are evicted after 0.5 s, before their timeout of 2.5 s. */
     @Test
-    void nextClientIsAcceptedOnceSilentOnesHaveHadTheirTime() throws Exception {
+    void silentConnectionsAreEvictedEarlyForANewClient() throws Exception {
         maxSockets = 40;
         start();
         List<Peer.Connection> silent = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             silent.add(connectClient());
         }
-        Peer.Connection good = connectClient();
-        good.sendCommand("PING");
-        assertEquals(List.of("+PONG"), good.readMessage());
-        assertTrue(silent.get(0).awaitEnd(), "made room, and was not told that its patience is over");
+        Peer.Connection activeClient = connectClient();
+        activeClient.sendCommand("PING");
+        assertEquals(List.of("+PONG"), activeClient.readMessage());
+        assertTrue(silent.get(0).awaitEnd(), "the evicted client received bytes before the close");
     }
 }
--- a/src/test/java/quotagateway/node/NodeFixture.java
+++ b/src/test/java/quotagateway/node/NodeFixture.java
@@ -31,19 +31,19 @@
 import quotagateway.policy.api.PolicyEvents;
 
 /**
- * A real node between peers on loopback sockets, which the test plays itself, with a scripted policy. A test sets the
- * fields that go into the configuration, calls {@link #start}, and then reads and writes on the peers' connections.
+ * A real node with a scripted policy, connected over loopback sockets to peers that the test controls. A test sets the
+ * fields for the configuration, calls {@link #start}, and then reads and writes on the peers' connections.
  */
 @Timeout(30)
 public abstract class NodeFixture {
     static final String CUSTOMER = "00000000b4d65521";
 
-    /** Longest wait (s) for an event at the policy. */
+    /** Maximum wait in seconds for an event at the policy. */
     private static final int EVENT_TIMEOUT_S = 10;
 
     /**
-     * Adds each event to {@link #policyEvents} as a line of text, and acts by the class of a request: most go to
-     * endpoint s0.
+     * Adds each event to {@link #policyEvents} as a line of text, and handles a request according to its class: most
+     * requests are sent to endpoint s0.
      */
     final class ScriptedPolicy implements PolicyEvents {
         PolicyActions actions;
@@ -75,7 +75,7 @@
 
         @Override
         public void replaceCordons(double now, Set<String> endpoints) {
-            if (!endpoints.equals(cordoned)) { // at the start there are none, as a rule
+            if (!endpoints.equals(cordoned)) { // at the start there are usually none
                 cordoned = endpoints;
                 policyEvents.add("cordons " + endpoints);
             }
@@ -97,10 +97,10 @@
             switch (request.requestClass()) {
                 case "refuse" -> actions.reject(request.id(), 1500);
                 case "fail" -> actions.fail(request.id());
-                case "throw" -> throw new IllegalStateException("on purpose");
+                case "throw" -> throw new IllegalStateException("exception of the scripted policy");
                 case "hold" -> {}
-                case "stall" -> stallPermits.acquireUninterruptibly(); // holds up the event loop
-                case "drop" -> { // completed before the connection for it is up
+                case "stall" -> stallPermits.acquireUninterruptibly(); // blocks the event loop
+                case "drop" -> { // completes the request before its connection is up
                     actions.sendAttempt(request.id(), "s0", 0);
                     actions.reject(request.id(), 0);
                 }
@@ -146,8 +146,8 @@
 
         @Override
         public void onTimer(double now, long token) {
-            if (timersToFail.getAndUpdate(count -> Math.max(0, count - 1)) > 0) {
-                throw new IllegalStateException("timer on purpose");
+            if (timersToFail.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
+                throw new IllegalStateException("timer exception of the scripted policy");
             }
             actions.cancelAttempt(token, 0);
         }
@@ -163,53 +163,53 @@
         }
     }
 
-    /** The state directory, which the processes of one gateway share. */
+    /** The state directory, shared by the processes of a gateway. */
     @TempDir
     Path stateFolder;
 
     final BlockingQueue<String> policyEvents = new LinkedBlockingQueue<>();
-    /** Closed behind the test, in this order. */
+    /** Resources to close after the test, in this order. */
     final List<AutoCloseable> closeables = new ArrayList<>();
 
     Peer endpointPeer;
     Peer discoveryPeer;
     Peer counterPeer;
-    /** The node's call to discovery that is kept open for changes. */
+    /** The connection of the node's open watch at discovery. */
     Peer.Connection watchConnection;
-    /** The connection that the node makes to its endpoint ahead of any request. */
+    /** The connection that the node opens to its endpoint before any request. */
     Peer.Connection endpointConnection;
 
     GatewayNode node;
-    /** Set by tests that have told the node to end. */
+    /** Set by tests that drain the node themselves. */
     boolean drained;
 
     // ---- for the configuration ----
 
     int maxSockets = 256;
-    /** 0 for a free one. */
+    /** The listen port; 0 selects a free port. */
     int listenPort;
 
     int keepAliveMs = 15_000;
 
     // ---- for the scripted policy ----
 
-    /** So many timers end with an exception. */
+    /** Number of timers that still have to fail with an exception. */
     final AtomicInteger timersToFail = new AtomicInteger();
 
     volatile boolean recordDiscoveryFailures = true;
-    /** When the client of the request with this number disconnects, an attempt of the next request is sent. */
+    /** When the client of the request with this id disconnects, the policy sends an attempt of the next request. */
     volatile long sendNextAfterDisconnectOf;
-    /** Requests of class stall wait for one of these, on the event loop. */
+    /** A request of class stall blocks the event loop until it acquires a permit. */
     final Semaphore stallPermits = new Semaphore(0);
 
-    /** An endpoint in the form of discovery. */
+    /** Returns an endpoint in the JSON format of discovery. */
     public static String entry(String id, String dial, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + dial
                 + "\",\"site\":\"a\",\"class\":\"m\",\"block\":3,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    /** An endpoint list, or changes of one, in the form of discovery. */
+    /** Returns an endpoint list, or changes to a list, in the JSON format of discovery. */
     public static String list(int version, boolean complete, String... entries) {
         return "{\"seq\":" + version + ",\"whole\":" + complete + ",\"hosts\":[" + String.join(",", entries) + "]}";
     }
@@ -219,12 +219,12 @@
         watchConnection.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** Accepts the node's first watch, of the list that it has cached, and answers that nothing has changed. */
+    /** Accepts the node's first watch, which continues from the cached list, and answers without changes. */
     void answerWatch() throws Exception {
         answerWatch(discoveryPeer.awaitConnection());
     }
 
-    /** As {@link #answerWatch()}, on a connection that has been accepted. */
+    /** Answers like {@link #answerWatch()}, on a connection that has already been accepted. */
     void answerWatch(Peer.Connection connection) throws Exception {
         watchConnection = connection;
         assertEquals("GET /catalog/members?follow=1&since=41 HTTP/1.1", watchConnection.readLine());
@@ -243,7 +243,7 @@
         closeables.addAll(List.of(endpointPeer, discoveryPeer, counterPeer));
     }
 
-    /** The configuration, with endpoint s0 in its cached list. */
+    /** Returns the configuration, with endpoint s0 in its cached list. */
     String configJson() {
         return """
             {"name":"n0","listen":"127.0.0.1:%d","control":"127.0.0.1:0","discovery":"%s",
@@ -264,7 +264,7 @@
                         keepAliveMs);
     }
 
-    /** A node of this configuration that has not been started, with a scripted policy of its own. */
+    /** Returns a node with this configuration and its own scripted policy, without starting the node. */
     GatewayNode newNode(String json) throws IOException {
         ScriptedPolicy policy = new ScriptedPolicy();
         GatewayConfig config = GatewayConfig.of(Json.read(json), Map.of("TMPDIR", stateFolder.toString()));
@@ -276,19 +276,19 @@
         });
     }
 
-    /** Starts a node; the policy gets these events, and then the cached list. */
+    /** Starts a node, and expects these events and then the cached list at the policy. */
     void start(String... firstEvents) throws Exception {
         node = newNode(configJson());
-        Thread watching = new Thread(() -> {
+        Thread answering = new Thread(() -> {
             try {
                 answerWatch();
             } catch (Exception e) {
                 policyEvents.add("watch: " + e);
             }
         });
-        watching.start();
+        answering.start();
         node.start();
-        watching.join();
+        answering.join();
         endpointConnection = endpointPeer.awaitConnection();
         for (String event : firstEvents) {
             expectEvent(event);
@@ -298,22 +298,22 @@
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable each : closeables) {
-            each.close();
+        for (AutoCloseable resource : closeables) {
+            resource.close();
         }
         if (node != null && !drained) {
             node.drain();
         }
     }
 
-    /** A client's connection to the node. */
+    /** Returns a new client connection to the node. */
     Peer.Connection connectClient() throws IOException {
         Peer.Connection client = Peer.Connection.connect(((InetSocketAddress) node.listenAddress()).getPort());
         closeables.add(client);
         return client;
     }
 
-    /** A call to a node's admin endpoint; returns the status and the body. */
+    /** Calls a node's admin endpoint; returns the status and the body. */
     static List<String> callAdmin(GatewayNode node, String method, String path) throws IOException {
         int port = ((InetSocketAddress) node.adminAddress()).getPort();
         try (Peer.Connection connection = Peer.Connection.connect(port)) {
@@ -322,7 +322,7 @@
         }
     }
 
-    /** The status of an HTTP response, and its body up to the end of the connection. */
+    /** Returns the status of an HTTP response, and its body up to the end of the connection. */
     static List<String> readHttpResponse(Peer.Connection connection) throws IOException {
         String status = connection.readLine();
         String header = connection.readLine();
@@ -332,18 +332,18 @@
         return List.of(status.split(" ", 0)[1], new String(connection.input.readAllBytes(), StandardCharsets.UTF_8));
     }
 
-    /** Sends a request without a value; the client waits for so long (ms). */
+    /** Sends a request without a value; {@code timeoutMs} is the client's timeout. */
     static void sendGet(Peer.Connection client, String id, String requestClass, int timeoutMs) throws IOException {
         client.sendCommand(
                 "CALL.GET", CUSTOMER, id, "c=" + requestClass + ",t=p,d=" + timeoutMs + ",units=2,spread=3,first=1");
     }
 
-    /** Waits for the next event at the policy, which must be this one. */
+    /** Waits for the next event at the policy, which must equal the text. */
     void expectEvent(String text) throws InterruptedException {
         assertEquals(text, policyEvents.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /** Waits for the event of a request that {@link #sendGet} has sent; number is the node's for it, from 1. */
+    /** Waits for the event of a request sent by {@link #sendGet}; the node numbers its requests from 1. */
     void expectRequest(int number, String requestClass) throws InterruptedException {
         expectEvent("arrived " + number + " " + requestClass + " p " + CUSTOMER + " 2 3 1 false");
     }
--- a/src/test/java/quotagateway/node/Peer.java
+++ b/src/test/java/quotagateway/node/Peer.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The other side of a node's connections in tests: a listener with plain blocking sockets on the loopback address. Its
- * connections are accepted by a thread of its own; what is read and written on them is the test's.
+ * The remote side of a node's connections in tests: a listener with blocking sockets on the loopback address. A
+ * background thread accepts its connections; the test reads and writes on them.
  */
 final class Peer implements Closeable {
-    /** One connection. Reads wait for 10 s at the most, and then throw. */
+    /** A connection. Reads wait for at most 10 s, and then throw. */
     static final class Connection implements Closeable {
         final Socket socket;
         final InputStream input;
@@ -37,7 +37,7 @@
             return new Connection(new Socket(InetAddress.getLoopbackAddress(), port));
         }
 
-        /** The next line without its end; throws at the end of the connection. */
+        /** Returns the next line without its line end; throws at the end of the connection. */
         String readLine() throws IOException {
             StringBuilder text = new StringBuilder();
             for (int c = input.read(); c != '\n'; c = input.read()) {
@@ -49,7 +49,7 @@
             return text.toString().replace("\r", "");
         }
 
-        /** The next RESP message: an array as its parts, a bulk string as one part, else the line. */
+        /** Returns the next RESP message: the parts of an array, a bulk string as a single part, or else the line. */
         List<String> readMessage() throws IOException {
             String head = readLine();
             List<String> parts = new ArrayList<>();
@@ -83,12 +83,12 @@
             write(text.toString());
         }
 
-        /** Writes an endpoint's response: a value, without usage figures and load report. */
+        /** Writes an endpoint's response: a value without actual units and load report. */
         void sendValue(String value) throws IOException {
             write("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
         }
 
-        /** Waits for the next byte or the end of the connection; true where it is an end, or a reset. */
+        /** Waits for the next byte or the end of the connection; returns true at an end or a reset. */
         boolean awaitEnd() throws IOException {
             try {
                 return input.read() < 0;
@@ -119,7 +119,7 @@
                     accepted.add(new Connection(server.accept()));
                 }
             } catch (IOException closed) {
-                // the test is over
+                // the test has ended
             }
         });
         accepting.setDaemon(true);
@@ -134,16 +134,16 @@
         return "127.0.0.1:" + port();
     }
 
-    /** The next connection that comes; waits for 10 s at the most, and then throws. */
+    /** Returns the next accepted connection; waits for at most 10 s, and then throws. */
     Connection awaitConnection() throws InterruptedException {
         Connection connection = accepted.poll(10, TimeUnit.SECONDS);
         if (connection == null) {
-            throw new AssertionError("no connection came");
+            throw new AssertionError("no connection accepted within 10 s");
         }
         return connection;
     }
 
-    /** The next connection that comes within so long (ms), or null. */
+    /** Returns the next connection accepted within the timeout, or null. */
     Connection pollConnection(long timeoutMs) throws InterruptedException {
         return accepted.poll(timeoutMs, TimeUnit.MILLISECONDS);
     }
@@ -152,7 +152,7 @@
     public void close() throws IOException {
         server.close();
         try {
-            accepting.join(); // the last to hold the socket: from here on it refuses
+            accepting.join(); // the thread holds the socket until it ends: afterwards connects are refused
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/quotagateway/node/ProcessHandoverTest.java
+++ b/src/test/java/quotagateway/node/ProcessHandoverTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A second process of the same gateway comes up beside the first, and takes its place. */
+/** A second process of the same gateway starts next to the first and replaces it. */
 class ProcessHandoverTest extends NodeFixture {
-    /** Both listen at one address meanwhile, and the predecessor closes no connection with requests on it. */
+    /** Both processes listen at one address, and the predecessor closes no connection that has open requests. */
     @Test
     void successorAcceptsClientsWhileThePredecessorFinishes() throws Exception {
         start();
@@ -34,14 +34,13 @@
         while (callAdmin(predecessor, "GET", "/admin/health").get(0).equals("200")) {
             Thread.onSpinWait();
         }
-        for (int i = 0; i < 100; i++) { // none is accepted by the predecessor and reset
+        for (int i = 0; i < 100; i++) { // the predecessor accepts and resets none of these connections
             try (Peer.Connection connection = Peer.Connection.connect(listenPort)) {
                 sendGet(connection, "1" + i, "refuse", 900);
                 assertEquals(List.of("-BUSY 1500"), connection.readMessage());
             }
         }
-        incompleteClient.write(
-                "fuse,t=p,d=1500\r\n"); // begun before the signal: the predecessor accepts and answers it
+        incompleteClient.write("fuse,t=p,d=1500\r\n"); // begun before the signal: the predecessor answers the command
         assertEquals(List.of("-BUSY 1500"), incompleteClient.readMessage());
         assertTrue(incompleteClient.awaitEnd());
         predecessorEndpointConnection.sendValue("one");
@@ -66,11 +65,11 @@
         assertFalse(second.hasSuccessor());
         assertFalse(new ProcessHandover(folder.resolve("none"), "n0").hasSuccessor(), "no such folder");
         try (var files = Files.list(folder)) {
-            assertEquals(1, files.count(), "nothing half written is left");
+            assertEquals(1, files.count(), "a temporary file is left");
         }
     }
 
-    /** The two processes share one limit on descriptors: the predecessor's connections still need theirs. */
+    /** Both processes share one limit on descriptors, and the predecessor's connections still use theirs. */
     @Test
     void successorAcceptsFewerClientsAtFirst() throws Exception {
         maxSockets = 40;
@@ -79,7 +78,7 @@
         Peer.Connection first = connectClient();
         first.sendCommand("PING");
         assertEquals(List.of("+PONG"), first.readMessage());
-        for (int i = 0; i < 13; i++) { // 34 % of 40 are 13: the first is evicted
+        for (int i = 0; i < 13; i++) { // 34 % of 40 are 13: the first connection is evicted
             Peer.Connection connection = connectClient();
             connection.sendCommand("PING");
             assertEquals(List.of("+PONG"), connection.readMessage());
--- a/src/test/java/quotagateway/node/ReadinessTest.java
+++ b/src/test/java/quotagateway/node/ReadinessTest.java
@@ -13,62 +13,62 @@
 import quotagateway.startup.JitWarmup;
 import quotagateway.startup.Readiness;
 
-/** A node that restarts is ready in time, whoever is silent: the other gateways carry its load until then. */
+/** A restarting node is ready in time even if a peer is silent: until then the other gateways carry its load. */
 class ReadinessTest extends NodeFixture {
-    private boolean known = true;
+    private boolean hasCachedList = true;
 
     @Override
     String configJson() {
         String text = super.configJson();
-        return known ? text : text.replace("\"known\":", "\"other\":");
+        return hasCachedList ? text : text.replace("\"known\":", "\"other\":");
     }
 
-    /** How long (ms) a start takes from the program's first line on; bits name the parts that never come up. */
-    private static double ready(double spent, boolean known, int never) {
+    /** Returns the time (ms) from program start until ready; the bits of neverReady mark parts that never come up. */
+    private static double readyAfterMs(double elapsedMs, boolean hasCachedList, int neverReady) {
         DiscoveryClientTest.World clock = new DiscoveryClientTest.World(false);
         CompletableFuture<?>[] parts = new CompletableFuture<?>[3];
         for (int i = 0; i < 3; i++) {
             CompletableFuture<Void> part = new CompletableFuture<>();
             parts[i] = part;
-            if ((never >> i & 1) == 0) {
+            if ((neverReady >> i & 1) == 0) {
                 clock.schedule(100, () -> part.complete(null));
             }
         }
-        double[] at = {Double.MAX_VALUE};
+        double[] readyAt = {Double.MAX_VALUE};
         Readiness.of(
                         clock,
-                        spent,
-                        known,
+                        elapsedMs,
+                        hasCachedList,
                         parts[0].thenRun(() -> {}),
                         parts[1].thenRun(() -> {}),
                         parts[2].thenRun(() -> {}))
-                .thenRun(() -> at[0] = clock.now());
+                .thenRun(() -> readyAt[0] = clock.now());
         clock.to(20_000);
-        return spent + at[0];
+        return elapsedMs + readyAt[0];
     }
 
     @Test
-    void waitsOfAStartAreBoundedInSum() {
-        assertEquals(100, ready(0, true, 0), "nothing is waited for that is there");
-        assertEquals(800, ready(0, true, 1), "a list known from before serves");
-        assertEquals(2000, ready(0, true, 4), "connections are made when they are asked for");
-        assertEquals(4000, ready(0, false, 7), "without a list there is nothing to serve by");
-        for (int never = 0; never < 8; never++) {
-            for (double spent = 0; spent <= 9000; spent += 300) {
-                assertTrue(ready(spent, true, never) <= Math.max(5000, spent + 800));
-                assertTrue(ready(spent, true, never) <= spent + 2000);
-                assertTrue(ready(spent, false, never) <= Math.max(5000, spent + 800));
+    void totalWaitOfAStartIsBounded() {
+        assertEquals(100, readyAfterMs(0, true, 0), "the start does not wait for parts that are up");
+        assertEquals(800, readyAfterMs(0, true, 1), "the cached list suffices");
+        assertEquals(2000, readyAfterMs(0, true, 4), "connections are opened on demand");
+        assertEquals(4000, readyAfterMs(0, false, 7), "without a list the node cannot serve");
+        for (int neverReady = 0; neverReady < 8; neverReady++) {
+            for (double elapsedMs = 0; elapsedMs <= 9000; elapsedMs += 300) {
+                assertTrue(readyAfterMs(elapsedMs, true, neverReady) <= Math.max(5000, elapsedMs + 800));
+                assertTrue(readyAfterMs(elapsedMs, true, neverReady) <= elapsedMs + 2000);
+                assertTrue(readyAfterMs(elapsedMs, false, neverReady) <= Math.max(5000, elapsedMs + 800));
             }
         }
-        assertTrue(JitWarmup.MAX_TIME_MS + 800 <= 5000, "the longest warm-up leaves time for a quiet call");
+        assertTrue(JitWarmup.MAX_TIME_MS + 800 <= 5000, "the longest warm-up leaves no time for an unanswered call");
     }
 
-    /** Counter and endpoints accept connections and send nothing, and discovery may do the same. */
+    /** The counter and the endpoints accept connections and send nothing; discovery may do the same. */
     @ParameterizedTest
     @ValueSource(strings = {"discovery answers", "all silent", "all silent, no list"})
-    void nodeListensWhoeverIsSilent(String how) throws Exception {
-        known = !how.endsWith("no list");
-        if (how.startsWith("discovery")) {
+    void nodeListensEvenIfPeersAreSilent(String scenario) throws Exception {
+        hasCachedList = !scenario.endsWith("no list");
+        if (scenario.startsWith("discovery")) {
             Thread agent = new Thread(() -> {
                 try {
                     answerWatch();
@@ -87,7 +87,7 @@
         assertEquals(List.of("+PONG"), client.readMessage());
     }
 
-    /** Discovery has another list. */
+    /** The node starts without the cached list: discovery has another list. */
     @Test
     void malformedCachedListDoesNotStopAStart() throws Exception {
         String text = configJson().replaceAll("\"known\":.*\\n", "\"known\":{\"whole\":true,\"hosts\":[5]},\n");
--- a/src/test/java/quotagateway/node/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/node/ReloadSignalTest.java
@@ -5,24 +5,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A signal that comes while the node comes up must not be lost. */
+/** A signal that arrives while the node starts must not be lost. */
 class ReloadSignalTest {
     @Test
-    void signalDuringTheStartIsHandledOnceThereIsANode() {
+    void signalDuringTheStartIsHandledOnceTheNodeExists() {
         ReloadSignal signal = new ReloadSignal();
-        AtomicInteger told = new AtomicInteger();
+        AtomicInteger runs = new AtomicInteger();
         signal.onSignal();
         signal.onSignal();
-        signal.setAction(told::incrementAndGet);
-        assertEquals(1, told.get());
+        signal.setAction(runs::incrementAndGet);
+        assertEquals(1, runs.get());
         signal.onSignal();
-        assertEquals(2, told.get());
+        assertEquals(2, runs.get());
     }
 
     @Test
     void withoutASignalNothingIsRun() {
-        AtomicInteger told = new AtomicInteger();
-        new ReloadSignal().setAction(told::incrementAndGet);
-        assertEquals(0, told.get());
+        AtomicInteger runs = new AtomicInteger();
+        new ReloadSignal().setAction(runs::incrementAndGet);
+        assertEquals(0, runs.get());
     }
 }
--- a/src/test/java/quotagateway/node/ReloadTest.java
+++ b/src/test/java/quotagateway/node/ReloadTest.java
@@ -19,8 +19,8 @@
 
 /** SIGHUP and new configurations while a node runs. */
 class ReloadTest extends NodeFixture {
-    /** More than are handed over as one: the first part comes before the list has ended. */
-    private static final int ENTRIES_OF_A_LIST_IN_PARTS = 1100;
+    /** More entries than a single part of a list holds: the first part is delivered before the list has ended. */
+    private static final int MULTI_PART_LIST_ENTRIES = 1100;
 
     @TempDir
     Path folder;
@@ -34,7 +34,7 @@
     }
 
     private static void answerListCall(Peer.Connection connection, String list) throws IOException {
-        // another discovery has versions of its own: the complete list is asked for
+        // another discovery has its own versions: the node requests the complete list
         readRequestHead(connection, "GET /catalog/members HTTP/1.1");
         respond(connection, list);
     }
@@ -50,9 +50,9 @@
         connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
     }
 
-    /** The old watch is in force until the new address has sent its list, and is closed then. */
+    /** The old watch stays open until the new address has sent its list, and is then closed. */
     @Test
-    void reloadMovesTheWatchOnceTheNewAddressHasItsList() throws Exception {
+    void reloadMovesTheWatchOnceTheNewAddressHasSentItsList() throws Exception {
         start();
         try (Peer newPeer = new Peer()) {
             node.reload(() -> configWith(newPeer, counterPeer));
@@ -67,25 +67,25 @@
     }
 
     /**
-     * A configuration moves discovery, and the new agent's list is so long that it comes in parts. Its first part says
-     * that s0 drains. Then the former agent, which lags behind, sends a change that still has s0 as active. The node
-     * took that as the newest, and sent requests to an endpoint that it had been told to leave. What the former agent
-     * says of endpoints that leave is still heard.
+     * After a reload moves discovery, the new agent's long list arrives in parts, and the first part reports s0 as
+     * draining. Then the former agent, which lags, sends a change with s0 still active. The node used to accept this
+     * change as the newest and sent requests to a draining endpoint. Endpoints that the former agent reports as
+     * leaving are still accepted.
      */
     @Test
-    void formerAgentDoesNotSetAnEndpointUpThatTheNewOneNamedAsDraining() throws Exception {
+    void formerAgentDoesNotReactivateAnEndpointThatDrainsAtTheNewAgent() throws Exception {
         start();
         try (Peer newPeer = new Peer()) {
             node.reload(() -> configWith(newPeer, counterPeer));
             Peer.Connection connection = newPeer.awaitConnection();
             readRequestHead(connection, "GET /catalog/members HTTP/1.1");
             StringBuilder entries = new StringBuilder(entry("s0", endpointPeer.address(), "leaving"));
-            for (int i = 0; i < ENTRIES_OF_A_LIST_IN_PARTS; i++) {
+            for (int i = 0; i < MULTI_PART_LIST_ENTRIES; i++) {
                 entries.append(',').append(entry("h" + i, endpointPeer.address(), "leaving"));
             }
             String longList = list(7, true, entries.toString());
-            String begun = longList.substring(0, longList.length() - 2);
-            connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + longList.length() + "\r\n\r\n" + begun);
+            String unfinishedList = longList.substring(0, longList.length() - 2);
+            connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + longList.length() + "\r\n\r\n" + unfinishedList);
             String firstPart = policyEvents.poll(10, TimeUnit.SECONDS);
             assertTrue(firstPart.startsWith("changes s0 DRAINING h0 DRAINING"), firstPart);
             pushToWatch(list(
@@ -98,28 +98,28 @@
     }
 
     /**
-     * The former agent is asked for its whole list as the configuration moves discovery, and the new agent's first
-     * answer is a change, so that both stay connected. The former agent's list then ends, and the watch that follows
-     * there named the new agent's version, which means nothing to the former one: it would leave out what has changed.
+     * A reload moves discovery while a call for the complete list is open at the former agent. The new agent's first
+     * answer is a change, so both stay connected. After the former agent's list, the next watch there used to state
+     * the new agent's version, which is invalid at the former agent, so that changes would be omitted.
      */
     @Test
-    void watchOfTheFormerAgentGoesOnFromItsOwnVersion() throws Exception {
+    void watchOfTheFormerAgentContinuesFromItsOwnVersion() throws Exception {
         start();
-        discardWatch();
-        Peer.Connection former = discoveryPeer.awaitConnection();
-        readRequestHead(former, "GET /catalog/members HTTP/1.1");
+        refuseWatchVersion();
+        Peer.Connection formerConnection = discoveryPeer.awaitConnection();
+        readRequestHead(formerConnection, "GET /catalog/members HTTP/1.1");
         try (Peer newPeer = new Peer()) {
             node.reload(() -> configWith(newPeer, counterPeer));
             answerListCall(newPeer.awaitConnection(), list(7, false, entry("s1", endpointPeer.address(), "leaving")));
             expectEvent("discovery failed");
             expectEvent("changes s1 DRAINING");
-            respond(former, list(50, true, entry("s0", endpointPeer.address(), "active")));
-            readRequestHead(former, "GET /catalog/members?follow=1&since=50 HTTP/1.1");
+            respond(formerConnection, list(50, true, entry("s0", endpointPeer.address(), "active")));
+            readRequestHead(formerConnection, "GET /catalog/members?follow=1&since=50 HTTP/1.1");
         }
     }
 
-    /** The agent does not know the version any more, so that the node asks it for its whole list. */
-    private void discardWatch() throws Exception {
+    /** Refuses the version as no longer known, so that the node requests the complete list. */
+    private void refuseWatchVersion() throws Exception {
         watchConnection.close();
         Peer.Connection next = discoveryPeer.awaitConnection();
         readRequestHead(next, "GET /catalog/members?follow=1&since=41 HTTP/1.1");
@@ -127,7 +127,7 @@
         expectEvent("discovery failed");
     }
 
-    /** The signal may come while the node comes up, when the old file has been read already. */
+    /** The signal may arrive during the start, when the old file has already been read. */
     @Test
     void reloadDuringTheStartMovesTheWatch() throws Exception {
         node = newNode(configJson());
@@ -148,11 +148,11 @@
             answering.join();
             expectEvent("whole s0 UP");
             expectEvent("changes s0 DRAINING");
-            assertEquals(null, discoveryPeer.pollConnection(0), "the old place is not asked");
+            assertEquals(null, discoveryPeer.pollConnection(0), "the node calls the old discovery address");
         }
     }
 
-    /** Calls go to the new address once it is reached; old connections are closed once no reply is due on them. */
+    /** Calls go to the new address once it is connected; old connections are closed once no reply is due on them. */
     @Test
     void reloadMovesTheCounterConnections() throws Exception {
         start();
@@ -174,12 +174,12 @@
             expectRequest(1, "count");
             expectEvent("counted 77 TIMEOUT 0.0");
             expectEvent("counted 77 TIMEOUT 0.0");
-            int called = 0;
+            int calledConnections = 0;
             for (Peer.Connection connection : connections) {
                 List<String> words = connection.readMessage();
-                called += words.get(0).equals("CNT.ADD") ? 1 : 0;
+                calledConnections += words.get(0).equals("CNT.ADD") ? 1 : 0;
             }
-            assertEquals(1, called);
+            assertEquals(1, calledConnections);
         }
     }
 
@@ -194,9 +194,9 @@
         expectEvent("changes s0 DRAINING");
     }
 
-    /** Environment variables are those of the start; what is new stands in the file. */
+    /** The environment variables date from the start; new settings are in the file. */
     @Test
-    void reloadedFileWinsOverTheVariableOfTheStart() throws Exception {
+    void reloadedFileOverridesTheEnvironmentOfTheStart() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), configJson());
         Map<String, String> env = Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
         assertEquals(
@@ -208,14 +208,14 @@
     }
 
     /**
-     * A JVM without a handler ends with 129 at SIGHUP; here a child process has one. The steps wait for each other, and
-     * for as long as the child lives: how long its JVM takes to come up depends on the load of the machine.
+     * A JVM without a handler exits with 129 at SIGHUP; the child process of this test has a handler. Each step waits
+     * as long as the child is alive, because the start time of its JVM depends on the load of the machine.
      */
     @Test
     @Timeout(120)
-    void hangupReloadsAProcessAndDoesNotEndIt() throws Exception {
-        try (ServerSocket free = new ServerSocket(0)) {
-            listenPort = free.getLocalPort();
+    void hangupReloadsAProcessAndDoesNotTerminateIt() throws Exception {
+        try (ServerSocket freePortSocket = new ServerSocket(0)) {
+            listenPort = freePortSocket.getLocalPort();
         }
         Path file = Files.writeString(folder.resolve("config.json"), configJson());
         Process process = startProcess(file);
@@ -253,7 +253,7 @@
         return builder.start();
     }
 
-    /** The next connection to a peer, which the process makes as long as it lives. */
+    /** Returns the next connection to a peer; waits as long as the process is alive. */
     private static Peer.Connection connectionFrom(Process process, Peer peer) throws InterruptedException {
         Peer.Connection connection = peer.pollConnection(100);
         while (connection == null) {
@@ -263,7 +263,7 @@
         return connection;
     }
 
-    /** It listens once its start is over. */
+    /** Waits until the process listens, which it does once its start is complete. */
     private void awaitListening(Process process) throws Exception {
         while (true) {
             assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
--- a/src/test/java/quotagateway/node/RequestEndTest.java
+++ b/src/test/java/quotagateway/node/RequestEndTest.java
@@ -21,16 +21,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Requests, connections and processes that end at rare moments: what is owed then is given all the same. */
+/** Requests, connections and processes that end at rare moments: all responses due are still sent. */
 class RequestEndTest extends NodeFixture {
-    /** Requests whose responses are more than fits into the sockets' buffers. */
+    /** Number of requests whose responses exceed the socket buffers. */
     private static final int REQUESTS = 110;
 
     private static final String VALUE = "v".repeat(64 * 1024);
 
     private final Set<String> seenEvents = new HashSet<>();
 
-    /** It is not sent even where the policy has not cancelled its attempt. */
+    /** The request is not sent even if the policy has not cancelled its attempt. */
     @Test
     void completedRequestIsNotSentWhenItsConnectionComesUp() throws Exception {
         start();
@@ -38,7 +38,7 @@
         sendGet(client, "01", "read", 1500);
         expectRequest(1, "read");
         assertEquals("01", endpointConnection.readMessage().get(2));
-        sendGet(client, "02", "drop", 1500); // the one connection is in use: another has to come up
+        sendGet(client, "02", "drop", 1500); // the only connection is in use: the node has to open another
         expectRequest(2, "drop");
         expectEvent("ended 2 0 NOT_SENT true");
         Peer.Connection second = endpointPeer.awaitConnection();
@@ -46,27 +46,27 @@
         assertEquals("03", second.readMessage().get(2));
     }
 
-    /** Accepting a connection is no sign that the counter works: the backoff goes on. */
+    /** Accepting a connection does not show that the counter works: the backoff continues. */
     @Test
-    void counterThatClosesEachConnectionIsNotCalledWithoutAPause() throws Exception {
+    void counterThatClosesEachConnectionIsRetriedWithBackoff() throws Exception {
         start();
-        int came = 0;
-        long until = System.nanoTime() + 1_000_000_000L;
+        int accepted = 0;
+        long untilNanos = System.nanoTime() + 1_000_000_000L;
         for (Peer.Connection connection = counterPeer.pollConnection(1000);
-                System.nanoTime() < until;
+                System.nanoTime() < untilNanos;
                 connection = counterPeer.pollConnection(1000)) {
             if (connection != null) {
-                came++;
+                accepted++;
                 connection.close();
             }
         }
-        assertTrue(came >= 8, "each line comes again: " + came);
-        assertTrue(came <= 40, came + " connections of four lines in a second");
+        assertTrue(accepted >= 8, "connections are not reopened: " + accepted);
+        assertTrue(accepted <= 40, accepted + " connections for four slots within one second");
     }
 
-    /** Connections are made ahead for each endpoint of a list, and must not take the descriptors of all others. */
+    /** Connections opened in advance for each listed endpoint must not use up the other descriptors. */
     @Test
-    void connectionsMadeAheadStayWithinTheEndpointsBudget() throws Exception {
+    void connectionsOpenedInAdvanceStayWithinTheEndpointBudget() throws Exception {
         maxSockets = 40;
         start();
         String[] hosts = new String[14];
@@ -82,11 +82,11 @@
         assertEquals("01", endpointConnection.readMessage().get(2));
     }
 
-    /** A listener that came up behind the end would accept clients whom nobody answers. */
+    /** A listener that opened after the node's end would accept clients and never answer them. */
     @Test
-    void nodeToldToEndDuringItsStartDoesNotListen() throws Exception {
-        try (ServerSocket free = new ServerSocket(0)) {
-            listenPort = free.getLocalPort();
+    void nodeDrainedDuringItsStartDoesNotListen() throws Exception {
+        try (ServerSocket freePortSocket = new ServerSocket(0)) {
+            listenPort = freePortSocket.getLocalPort();
         }
         node = newNode(configJson());
         FutureTask<Void> starting = new FutureTask<>(() -> {
@@ -94,7 +94,7 @@
             return null;
         });
         new Thread(starting).start();
-        expectEvent("whole s0 UP"); // discovery does not answer, and the start waits for it
+        expectEvent("whole s0 UP"); // discovery does not answer, and the start waits for it here
         drained = true;
         node.drain();
         starting.get();
@@ -102,11 +102,11 @@
         assertThrows(ConnectException.class, () -> Peer.Connection.connect(listenPort));
     }
 
-    /** Clients that have connected and wait to be accepted must not be reset by the close of the listener. */
+    /** Closing the listener must not reset clients that have connected and wait to be accepted. */
     @Test
-    void connectedClientsAreAnsweredThoughTheLoopIsLate() throws Exception {
+    void connectedClientsAreAnsweredEvenIfTheLoopIsLate() throws Exception {
         start();
-        new ProcessHandover(stateFolder, "n0").claim(); // so the node stops listening at once
+        new ProcessHandover(stateFolder, "n0").claim(); // so the node stops listening immediately
         Peer.Connection first = connectClient();
         Peer.Connection second = connectClient();
         second.sendCommand("PING");
@@ -117,13 +117,13 @@
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        while (draining.getState() != Thread.State.WAITING) { // for the end, which the event loop has still to reach
+        while (draining.getState() != Thread.State.WAITING) { // for the event loop to begin the shutdown
             Thread.onSpinWait();
         }
-        stallPermits.release(); // the node stops listening, reads the second request and is held up again
+        stallPermits.release(); // the node stops listening, reads the second request and blocks again
         expectRequest(2, "stall");
         List<Peer.Connection> lateClients = new ArrayList<>();
-        for (int i = 0; i < 40; i++) { // more than are accepted in one round of the loop
+        for (int i = 0; i < 40; i++) { // more than one event loop iteration accepts
             lateClients.add(connectClient());
             lateClients.get(i).sendCommand("PING");
         }
@@ -135,18 +135,18 @@
         draining.join();
     }
 
-    /** An idle client may send a request in the moment of the close: it sends it again elsewhere. */
+    /** An idle client may send a request at the moment of the close; the client then resends it elsewhere. */
     @Test
-    void commandsBehindTheEndOfAConnectionAreNotAccepted() throws Exception {
+    void commandsAfterTheEndOfAConnectionAreNotAccepted() throws Exception {
         start();
-        Peer.Connection resting = connectClient();
-        resting.sendCommand("PING");
-        assertEquals(List.of("+PONG"), resting.readMessage());
+        Peer.Connection idleClient = connectClient();
+        idleClient.sendCommand("PING");
+        assertEquals(List.of("+PONG"), idleClient.readMessage());
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
-        assertEquals(-1, resting.input.read()); // the client's side is still open and read for a while
-        sendGet(resting, "01", "read", 900);
+        assertEquals(-1, idleClient.input.read()); // the client's side is still open and read for a while
+        sendGet(idleClient, "01", "read", 900);
         draining.join();
         assertTrue(policyEvents.stream().noneMatch(t -> t.startsWith("arrived")), policyEvents.toString());
     }
@@ -157,9 +157,9 @@
                 + list + "\r\n";
     }
 
-    private Thread drainBesideASuccessor() {
+    private Thread drainWithSuccessor() {
         new ProcessHandover(stateFolder, "n0")
-                .claim(); // connections are closed behind their next response from the signal on
+                .claim(); // from the signal on, connections are closed after their next response
         drained = true;
         Thread draining = new Thread(node::drain);
         draining.start();
@@ -169,14 +169,14 @@
         return draining;
     }
 
-    /** The response to the first must not close the connection with the second one already read. */
+    /** The response to the first command must not close the connection if the second was already read. */
     @Test
     void commandsReadTogetherInAShutdownAreAllAnswered() throws Exception {
         start();
         Peer.Connection client = connectClient();
         client.sendCommand("PING");
         assertEquals(List.of("+PONG"), client.readMessage());
-        Thread draining = drainBesideASuccessor();
+        Thread draining = drainWithSuccessor();
         client.write(refusedCommand("01") + refusedCommand("02") + refusedCommand("03"));
         for (int i = 0; i < 3; i++) {
             assertEquals(List.of("-BUSY 1500"), client.readMessage());
@@ -185,30 +185,30 @@
         draining.join();
     }
 
-    /** Its rest would come to a process that has ended: the client could not know whether it was executed. */
+    /** The rest would arrive after the process has ended: the client could not know whether the command ran. */
     @Test
     void incompleteCommandIsAnsweredAtTheEndOfTheProcess() throws Exception {
         start();
         Peer.Connection client = connectClient();
         client.sendCommand("PING");
         assertEquals(List.of("+PONG"), client.readMessage());
-        Thread draining = drainBesideASuccessor();
+        Thread draining = drainWithSuccessor();
         client.write(refusedCommand("01").substring(0, 40));
         assertEquals(List.of("-ERR the edge node ends"), client.readMessage());
         assertEquals(-1, client.input.read());
         draining.join();
     }
 
-    /** It would be open when SIGKILL comes. */
+    /** The request would still be open at SIGKILL. */
     @Test
-    void requestPastTheShutdownDeadlineIsRejectedAtOnce() throws Exception {
+    void requestPastTheShutdownDeadlineIsRejectedImmediately() throws Exception {
         start();
         Peer.Connection client = connectClient();
         sendGet(client, "01", "read", 20_000);
         endpointConnection.readMessage();
         endpointConnection.write("*3\r\n$100000\r\nhalf");
         assertEquals("$100000", client.readLine());
-        Thread draining = drainBesideASuccessor();
+        Thread draining = drainWithSuccessor();
         Thread.sleep(3000); // responses were due after 2400 ms
         sendGet(client, "02", "refuse", 20_000);
         Thread.sleep(100);
@@ -220,14 +220,14 @@
         assertTrue(policyEvents.stream().noneMatch(t -> t.startsWith("arrived 2 ")), policyEvents.toString());
     }
 
-    /** A close with unread bytes would be a reset, which can drop the response before it. */
+    /** A close with unread bytes would be a reset, which can discard the preceding response. */
     @Test
     void evictedConnectionIsClosedAndNotReset() throws Exception {
-        assumeTrue(Epoll.isAvailable()); // NIO does not keep the order of what comes
+        assumeTrue(Epoll.isAvailable()); // NIO does not preserve the order of events
         maxSockets = 40;
         start();
-        Peer.Connection idlest = connectClient();
-        List<Peer.Connection> clients = new ArrayList<>(List.of(idlest));
+        Peer.Connection longestIdle = connectClient();
+        List<Peer.Connection> clients = new ArrayList<>(List.of(longestIdle));
         while (clients.size() < 12) {
             clients.add(connectClient());
         }
@@ -235,13 +235,13 @@
             connection.sendCommand("PING");
             assertEquals(List.of("+PONG"), connection.readMessage());
         }
-        Peer.Connection busy = connectClient(); // the thirteenth, and the last that there may be
+        Peer.Connection busy = connectClient(); // the thirteenth connection, which reaches the limit
         sendGet(busy, "01", "stall", 9000);
         expectRequest(1, "stall");
         Peer.Connection next = connectClient();
-        idlest.sendCommand("PING");
+        longestIdle.sendCommand("PING");
         stallPermits.release();
-        assertEquals(-1, idlest.input.read()); // a reset would throw
+        assertEquals(-1, longestIdle.input.read()); // a reset would throw
         next.sendCommand("PING");
         assertEquals(List.of("+PONG"), next.readMessage());
     }
@@ -266,7 +266,7 @@
         return client;
     }
 
-    /** Asks for so much that part of it waits in the node while the client does not read. */
+    /** Sends requests whose responses partly wait in the node while the client does not read. */
     private List<Peer.Connection> sendRequests(Peer.Connection client) throws Exception {
         List<Peer.Connection> connections = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
@@ -286,14 +286,14 @@
         }
     }
 
-    /** All its responses are written, but not sent: it only seems idle. */
+    /** All responses of the client are written but not sent: the client only seems idle. */
     @Test
     void slowReaderIsNotEvicted() throws Exception {
         maxSockets = 450;
         start();
         Peer.Connection slow = connectSlowReader();
         respondToAll(sendRequests(slow));
-        for (int i = 0; i < 300; i++) { // the limit on connections is below that
+        for (int i = 0; i < 300; i++) { // the connection limit is lower
             Peer.Connection connection = connectClient();
             connection.sendCommand("PING");
             assertEquals(List.of("+PONG"), connection.readMessage());
@@ -303,9 +303,9 @@
         }
     }
 
-    /** The close that tells the client of it must not drop the responses before it, neither at once nor 2 s later. */
+    /** The close that reports the failure must not discard earlier responses, neither immediately nor 2 s later. */
     @Test
-    void valueThatBreaksOffLeavesEarlierResponsesWhole() throws Exception {
+    void truncatedValueLeavesEarlierResponsesComplete() throws Exception {
         maxSockets = 450;
         start();
         Peer.Connection slow = connectSlowReader();
@@ -315,11 +315,11 @@
         last.readMessage();
         last.write("*3\r\n$100000\r\nhalf");
         respondToAll(connections);
-        awaitEvent("ended " + (REQUESTS + 1) + " 0 OK true"); // it has begun, and its turn comes behind the others
+        awaitEvent("ended " + (REQUESTS + 1) + " 0 OK true"); // the response has begun, and follows the others
         last.close();
         for (int i = 0; i < REQUESTS; i++) {
             if (i < 40) {
-                Thread.sleep(60); // over 2 s in all, with much of it still to come
+                Thread.sleep(60); // over 2 s in total, with many responses still to be read
             }
             assertEquals(List.of(VALUE), slow.readMessage());
         }
--- a/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
+++ b/src/test/java/quotagateway/node/ShutdownDeadlineTest.java
@@ -12,7 +12,7 @@
 import quotagateway.policy.api.RequestClass;
 import quotagateway.policy.api.RetryScope;
 
-/** The time that a shutdown has, by the deadlines of the request classes. */
+/** The time available for a shutdown, computed from the deadlines of the request classes. */
 class ShutdownDeadlineTest {
     private static PolicySettings settings(double... deadlines) {
         PolicySettings none = SettingsReader.read(Map.of());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void killComesBehindTheLongestDeadline() {
+    void killFollowsTheLongestDeadline() {
         assertEquals(900, ShutdownDeadline.earliestKillMs(settings(100, 200)));
         assertEquals(3008, ShutdownDeadline.earliestKillMs(settings(2308, 1000)));
     }
--- a/src/test/java/quotagateway/node/ShutdownProcessTest.java
+++ b/src/test/java/quotagateway/node/ShutdownProcessTest.java
@@ -23,17 +23,17 @@
 import quotagateway.scale.soak.NodeProcess;
 
 /**
- * A planned restart of a real process, with its real signals: SIGTERM, and SIGKILL at the earliest time that
- * the protocol allows. Its endpoint accepts requests and never responds, behind a proxy that holds responses back.
+ * A planned restart of a real process with real signals: SIGTERM, and SIGKILL at the earliest time that the protocol
+ * allows. The endpoint accepts requests and never responds; a proxy in front of it holds back responses.
  */
 @Timeout(60)
 class ShutdownProcessTest {
-    /** SIGKILL comes no sooner than this (ms) behind the longest deadline, which counts as 3 s at most. */
+    /** Minimum time (ms) from the longest deadline, capped at 3 s, to SIGKILL. */
     private static final int KILL_AFTER_DEADLINE_MS = 750;
 
     private static final int MAX_COUNTED_DEADLINE_MS = 3000;
     private static final int READY_WITHIN_MS = 30_000;
-    private static final String UNANSWERED = "connection ended with no whole answer";
+    private static final String UNANSWERED = "connection ended without a complete response";
 
     @TempDir
     Path folder;
@@ -48,7 +48,7 @@
     @BeforeEach
     void openPeers() throws IOException {
         endpoint = new Peer();
-        discovery = new Peer(); // accepts connections and sends nothing: the cached list is in force
+        discovery = new Peer(); // accepts connections and sends nothing: the node uses the cached list
         proxy = new FaultProxy(new InetSocketAddress(InetAddress.getLoopbackAddress(), endpoint.port()));
         closeables.addAll(List.of(endpoint, discovery, proxy));
     }
@@ -64,7 +64,7 @@
     }
 
     /** Starts a node whose request classes have this deadline (ms), and holds back its endpoint's responses. */
-    private void start(int deadline) throws Exception {
+    private void start(int deadlineMs) throws Exception {
         int port = NodeProcess.freePort();
         Path config = folder.resolve("config.json");
         Files.writeString(config, """
@@ -78,10 +78,10 @@
                         port,
                         discovery.address(),
                         NodeFixture.list(41, true, NodeFixture.entry("s0", proxy.dial(), "active")),
-                        deadline / 2,
-                        deadline,
-                        deadline / 2,
-                        deadline));
+                        deadlineMs / 2,
+                        deadlineMs,
+                        deadlineMs / 2,
+                        deadlineMs));
         List<String> command = List.of(
                 System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
                 "-XX:+UseSerialGC",
@@ -115,12 +115,16 @@
         return connection;
     }
 
-    private static void sendPost(Peer.Connection client, String id, int wait) throws IOException {
+    private static void sendPost(Peer.Connection client, String id, int timeoutMs) throws IOException {
         client.sendCommand(
-                "CALL.POST", NodeFixture.CUSTOMER, id, "c=order,t=p,d=" + wait + ",units=1,spread=1,first=0", "body");
+                "CALL.POST",
+                NodeFixture.CUSTOMER,
+                id,
+                "c=order,t=p,d=" + timeoutMs + ",units=1,spread=1,first=0",
+                "body");
     }
 
-    /** What the client sees: the response, or the end of its connection. */
+    /** Returns the response that the client receives, or {@link #UNANSWERED} at the end of its connection. */
     private static String outcome(Peer.Connection client) throws IOException {
         try {
             return client.readMessage().toString();
@@ -129,20 +133,20 @@
         }
     }
 
-    private static void sleepUntil(long from, long milliseconds) throws InterruptedException {
-        long left = from + TimeUnit.MILLISECONDS.toNanos(milliseconds) - System.nanoTime();
-        if (left > 0) {
-            TimeUnit.NANOSECONDS.sleep(left);
+    private static void sleepUntil(long startNanos, long milliseconds) throws InterruptedException {
+        long leftNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(milliseconds) - System.nanoTime();
+        if (leftNanos > 0) {
+            TimeUnit.NANOSECONDS.sleep(leftNanos);
         }
     }
 
-    /** A planned restart: SIGTERM, and SIGKILL at its earliest time. */
-    private long terminate(int deadline) {
-        long from = System.nanoTime();
+    /** Sends SIGTERM, and SIGKILL at its earliest time; returns the time of SIGTERM in nanoseconds. */
+    private long terminate(int deadlineMs) {
+        long startNanos = System.nanoTime();
         node.signal(NodeProcess.Signal.TERM);
         Thread killer = new Thread(() -> {
             try {
-                sleepUntil(from, Math.min(deadline, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS);
+                sleepUntil(startNanos, Math.min(deadlineMs, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS);
                 node.signal(NodeProcess.Signal.KILL);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -150,42 +154,42 @@
         });
         killer.setDaemon(true);
         killer.start();
-        return from;
+        return startNanos;
     }
 
-    /** A client that connects during the shutdown, and sends its request late in it. */
-    private void lateRequestIsAnswered(int deadline) throws Exception {
-        start(deadline);
-        long from = terminate(deadline);
-        sleepUntil(from, 200);
-        Peer.Connection late = connectClient();
-        sleepUntil(from, 950);
-        sendPost(late, "01", deadline);
-        Peer.Connection got = endpoint.awaitConnection();
-        assertEquals("01", got.readMessage().get(2), "it is passed on");
-        assertEquals("[-ERR failed]", outcome(late), this::log);
+    /** Connects a client during the shutdown, which sends its request late and must get a response. */
+    private void assertLateRequestIsAnswered(int deadlineMs) throws Exception {
+        start(deadlineMs);
+        long startNanos = terminate(deadlineMs);
+        sleepUntil(startNanos, 200);
+        Peer.Connection lateClient = connectClient();
+        sleepUntil(startNanos, 950);
+        sendPost(lateClient, "01", deadlineMs);
+        Peer.Connection forwarded = endpoint.awaitConnection();
+        assertEquals("01", forwarded.readMessage().get(2), "the request is not forwarded");
+        assertEquals("[-ERR failed]", outcome(lateClient), this::log);
     }
 
     @Test
     void requestLateInAShutdownIsAnsweredBeforeTheKillWithShortDeadlines() throws Exception {
-        lateRequestIsAnswered(1000);
+        assertLateRequestIsAnswered(1000);
     }
 
     @Test
     void requestLateInAShutdownIsAnsweredBeforeTheKillWithLongDeadlines() throws Exception {
-        lateRequestIsAnswered(4000);
+        assertLateRequestIsAnswered(4000);
     }
 
     /** A request that was accepted before the signal has its deadline brought forward before SIGKILL. */
     @Test
     void requestAcceptedBeforeAShutdownIsAnsweredBeforeTheKill() throws Exception {
-        int deadline = 4000;
-        start(deadline);
-        Peer.Connection before = connectClient();
-        sendPost(before, "01", deadline);
-        Peer.Connection got = endpoint.awaitConnection();
-        assertEquals("01", got.readMessage().get(2), "it is passed on");
-        terminate(deadline);
-        assertEquals("[-ERR failed]", outcome(before), this::log);
+        int deadlineMs = 4000;
+        start(deadlineMs);
+        Peer.Connection earlierClient = connectClient();
+        sendPost(earlierClient, "01", deadlineMs);
+        Peer.Connection forwarded = endpoint.awaitConnection();
+        assertEquals("01", forwarded.readMessage().get(2), "the request is not forwarded");
+        terminate(deadlineMs);
+        assertEquals("[-ERR failed]", outcome(earlierClient), this::log);
     }
 }
--- a/src/test/java/quotagateway/node/StateFilesTest.java
+++ b/src/test/java/quotagateway/node/StateFilesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The literal names and contents of the files that processes of different versions share while one replaces the other.
- * What stands here must not change with the code: a process that is in service today reads and writes it.
+ * The literal names and contents of the files that processes of different versions share during a handover. The
+ * literals must not change with the code: a process that is in service today reads and writes these files.
  */
 class StateFilesTest {
     private static final long PID = ProcessHandle.current().pid();
@@ -53,11 +53,11 @@
     void servingFileOfAnotherVersionNamesAPredecessor() throws Exception {
         Files.writeString(servingFile(), "4711 81985529216486895");
         assertTrue(handover().hasPredecessor());
-        assertTrue(handover().hasSuccessor(), "it names another process than this one");
+        assertTrue(handover().hasSuccessor(), "the file names another process");
     }
 
     @Test
-    void servingFileOfAnotherGatewayIsNoConcern() throws Exception {
+    void servingFileOfAnotherGatewayIsIgnored() throws Exception {
         Files.writeString(folder.resolve("serving-n1"), "4711 81985529216486895");
         assertFalse(handover().hasPredecessor());
         assertFalse(handover().hasSuccessor());
@@ -75,14 +75,14 @@
     }
 
     @Test
-    void claimOfAnotherVersionBehindThisOneIsASuccessor() throws Exception {
+    void laterClaimOfAnotherVersionIsASuccessor() throws Exception {
         ProcessHandover handover = handover();
         handover.claim();
         String own = Files.readString(servingFile());
         Files.writeString(servingFile(), "4712 81985529216486896");
         assertTrue(handover.hasSuccessor());
         Files.writeString(servingFile(), own);
-        assertFalse(handover.hasSuccessor(), "the whole content names a process");
+        assertFalse(handover.hasSuccessor(), "the complete content identifies a process");
     }
 
     // ---- cordons-NAME ----
@@ -111,7 +111,7 @@
         assertTrue(cordons.update("s10", false));
         assertEquals("s2\n", Files.readString(cordonsFile()));
         assertTrue(cordons.update("s2", false));
-        assertEquals("", Files.readString(cordonsFile()), "without a cordon it is empty, and stays");
+        assertEquals("", Files.readString(cordonsFile()), "without cordons the file is empty, and is not deleted");
         assertEquals(List.of("cordons-n0"), fileNames());
     }
 
